--- a/packages/core/src/forwarding/caller_age.cpp
+++ b/packages/core/src/forwarding/caller_age.cpp
@@ -1,4 +1,4 @@
-/** @file caller_age.cpp How long callers have been trying. */
+/** @file caller_age.cpp Estimating how long a caller has been retrying. */
 
 #include "forwarding/caller_age_func.h"
 
@@ -11,51 +11,54 @@
 namespace {
 
 /**
- * Requests after which a deadline that nobody begins with any more is mostly
- * forgotten: a third of callers that come back do not move it by a tenth.
+ * Number of requests over which the longest deadline decays when no caller
+ * starts with it any more. Slow enough that it moves by less than a tenth when
+ * a third of the callers are retrying.
  */
-constexpr int ForgetAfter = 256;
+constexpr int DeadlineDecay = 256;
 /**
- * Part of the longest deadline that all callers of a route begin with: they
- * differ by a sixth. Whoever has less left was here before.
+ * Share of the longest deadline below which a caller must be retrying: the
+ * deadlines with which callers of a route start differ by a sixth.
  */
-constexpr double FirstDeadlinePart = 0.8;
-/** Longest wait of one that is late: a back end ends its usual work in it. */
-constexpr Millis MostLateWait{1500};
-/** Part of the time left that it may wait. */
-constexpr int LateWaitPart = 3;
+constexpr double ShortestDeadlineShare = 0.8;
+/** Longest wait of a late request: usually a back end completes a request in
+ * it. */
+constexpr Millis MaxLateWait{1500};
+/** Divisor of the remaining time for the wait of a late request. */
+constexpr int LateWaitDivisor = 3;
 
 } // namespace
 
-Duration callerAge(CallerHabits &Habits, const Route &From, Duration Left) {
-  const Duration Told =
-      From.Timeout.count() > 0 ? std::min<Duration>(Left, From.Timeout) : Left;
-  Duration &First =
-      Habits.FirstDeadline.try_emplace(From.Name, Told).first->second;
-  First = std::max(Told, First - First / ForgetAfter);
+Duration callerAge(CallerHabits &Habits, const Route &Matched, Duration Left) {
+  const Duration Told = Matched.Timeout.count() > 0
+                            ? std::min<Duration>(Left, Matched.Timeout)
+                            : Left;
+  Duration &Longest =
+      Habits.LongestDeadline.try_emplace(Matched.Name, Told).first->second;
+  Longest = std::max(Told, Longest - Longest / DeadlineDecay);
   const auto Shortest =
-      std::chrono::duration_cast<Duration>(First * FirstDeadlinePart);
+      std::chrono::duration_cast<Duration>(Longest * ShortestDeadlineShare);
   return std::max(Shortest - Told, Duration{0});
 }
 
-Duration awayToBeKnown(const CallerHabits &Habits, const Route &From) {
-  const auto it = Habits.FirstDeadline.find(From.Name);
-  if (it == Habits.FirstDeadline.end())
+Duration awayToBeKnown(const CallerHabits &Habits, const Route &Matched) {
+  const auto it = Habits.LongestDeadline.find(Matched.Name);
+  if (it == Habits.LongestDeadline.end())
     return Duration{0};
   return std::chrono::duration_cast<Duration>(it->second *
-                                              (1 - FirstDeadlinePart));
+                                              (1 - ShortestDeadlineShare));
 }
 
 void forgetOtherRoutes(CallerHabits &Habits, const Document &Doc) {
   std::set<std::string_view> Names;
   for (const Route &One : Doc.Routes)
     Names.insert(One.Name);
-  std::erase_if(Habits.FirstDeadline,
+  std::erase_if(Habits.LongestDeadline,
                 [&](const auto &Row) { return !Names.contains(Row.first); });
 }
 
 Millis lateWait(Duration Left) {
-  return std::clamp(toMillis(Left / LateWaitPart), Millis{0}, MostLateWait);
+  return std::clamp(toMillis(Left / LateWaitDivisor), Millis{0}, MaxLateWait);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/caller_age_func.h
+++ b/packages/core/src/forwarding/caller_age_func.h
@@ -1,11 +1,11 @@
-/** @file caller_age_func.h How long callers have been trying.
+/** @file caller_age_func.h Estimating how long a caller has been retrying.
  *
- * A caller that was refused and comes back tells only what is left of its time.
- * It missed the target of its route while it was away, so a place does it no
- * more good now than a second later, but it would make a fresh request late
- * that could still be on time. Callers of a route begin with similar deadlines;
- * what is missing of the shortest of them is the least time that one has been
- * away.
+ * A caller that retries after a refusal states only its remaining time. It has
+ * already missed the target of its route, so serving it at once is no better
+ * than serving it a second later, but would delay a new request that can still
+ * be on time. Callers of a route start with similar deadlines: the difference
+ * between the shortest of these and the remaining time is the least time that
+ * a caller has been retrying.
  */
 
 #ifndef JACINTHPOND_CORE_CALLER_AGE_FUNC_H
@@ -17,36 +17,38 @@
 namespace jacinthpond {
 
 /**
- * Gives how long a caller has been trying already.
- * @param Habits State to change: deadlines are learned.
- * @param From The route of the request.
- * @param Left Time that the caller has left.
- * @return Its least age; 0 for one that may be here for the first time.
+ * Estimates how long a caller has been retrying, and learns the deadlines with
+ * which callers of the route start.
+ * @param Habits State to change.
+ * @param Matched Route of the request.
+ * @param Left Remaining time of the caller.
+ * @return Lower bound of its age; 0 for a caller that may be new.
  */
-Duration callerAge(CallerHabits &Habits, const Route &From, Duration Left);
+Duration callerAge(CallerHabits &Habits, const Route &Matched, Duration Left);
 
 /**
- * Gives how long a refused caller has to stay away to be known for one when it
- * comes back. Sooner it would pass for a fresh one and take the place of one
- * that can still be on time, while itself it is late in any case.
+ * Gives the shortest retry delay after which callerAge() recognizes a refused
+ * caller. A caller that retries sooner would count as new and take the slot of
+ * one that can still be on time, although it is late itself in any case.
  * @param Habits The state.
- * @param From The route of the request.
- * @return The time; 0 where nothing is known.
+ * @param Matched Route of the request.
+ * @return The delay; 0 where nothing is known.
  */
-Duration awayToBeKnown(const CallerHabits &Habits, const Route &From);
+Duration awayToBeKnown(const CallerHabits &Habits, const Route &Matched);
 
 /**
- * Forgets routes that a document does not have; names change with it.
+ * Removes the state of routes that a document does not have; route names change
+ * between documents.
  * @param Habits State to change.
  * @param Doc The document in force.
  */
 void forgetOtherRoutes(CallerHabits &Habits, const Document &Doc);
 
 /**
- * Gives how long a request that is late in any case may wait for a place that
+ * Gives how long a request that has missed its target may wait for a slot that
  * no request on time needs.
- * @param Left Time that the caller has left.
- * @return The time; a refusal after it still leaves time to come back.
+ * @param Left Remaining time of the caller.
+ * @return The time; a refusal after it still leaves time for a retry.
  */
 Millis lateWait(Duration Left);
 
--- a/packages/core/src/forwarding/caller_age_type.h
+++ b/packages/core/src/forwarding/caller_age_type.h
@@ -1,4 +1,4 @@
-/** @file caller_age_type.h How long callers have been trying. */
+/** @file caller_age_type.h Estimating how long a caller has been retrying. */
 
 #ifndef JACINTHPOND_CORE_CALLER_AGE_TYPE_H
 #define JACINTHPOND_CORE_CALLER_AGE_TYPE_H
@@ -10,9 +10,9 @@
 
 namespace jacinthpond {
 
-/** Deadlines with which callers of each route begin. */
+/** Deadlines with which callers of each route start. */
 struct CallerHabits {
-  std::map<std::string, Duration> FirstDeadline; ///< By name of the route.
+  std::map<std::string, Duration> LongestDeadline; ///< By name of the route.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/caller_wait.cpp
+++ b/packages/core/src/forwarding/caller_wait.cpp
@@ -1,4 +1,5 @@
-/** @file caller_wait.cpp How long a caller waits for the next part. */
+/** @file caller_wait.cpp How long a caller waits for the next part of an
+ * answer. */
 
 #include "forwarding/caller_wait_func.h"
 
@@ -8,16 +9,18 @@
 
 namespace {
 
-/** The caller's clock starts when it sends; its answer takes a while, too. */
-constexpr Millis WayToCaller{100};
+/** Allowance for the transit of the request and of the answer: the caller's
+ * clock starts when it sends the request. */
+constexpr Millis TransitTime{100};
 
 } // namespace
 
-TimePoint answerNeededBy(const Route &From, TimePoint Deadline,
+TimePoint answerNeededBy(const Route &Matched, TimePoint Deadline,
                          TimePoint LastGiven) {
-  if (From.Kind != RouteKind::Stream || From.LongestSilence <= WayToCaller)
+  if (Matched.Kind != RouteKind::Stream ||
+      Matched.LongestSilence <= TransitTime)
     return Deadline;
-  return std::min(Deadline, LastGiven + From.LongestSilence - WayToCaller);
+  return std::min(Deadline, LastGiven + Matched.LongestSilence - TransitTime);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/caller_wait_func.h
+++ b/packages/core/src/forwarding/caller_wait_func.h
@@ -1,4 +1,5 @@
-/** @file caller_wait_func.h How long a caller waits for the next part. */
+/** @file caller_wait_func.h How long a caller waits for the next part of an
+ * answer. */
 
 #ifndef JACINTHPOND_CORE_CALLER_WAIT_FUNC_H
 #define JACINTHPOND_CORE_CALLER_WAIT_FUNC_H
@@ -9,15 +10,16 @@
 namespace jacinthpond {
 
 /**
- * Gives until when a caller has to hear something. Callers of streams abandon
- * a silent one long before their deadline, and come back to none that they
- * abandoned; one that is answered in time may try again.
- * @param From The route of the request.
+ * Gives the time by which a caller must be sent something. Callers abandon a
+ * silent stream long before their deadline and do not retry it; a caller that
+ * gets an error in time may retry.
+ * @param Matched Route of the request.
  * @param Deadline The caller's deadline or the route's timeout.
- * @param LastGiven When the request came, or the caller was sent a part last.
+ * @param LastGiven When the request arrived, or the last part was sent to the
+ * caller.
  * @return The time; not after the deadline.
  */
-TimePoint answerNeededBy(const Route &From, TimePoint Deadline,
+TimePoint answerNeededBy(const Route &Matched, TimePoint Deadline,
                          TimePoint LastGiven);
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/come_back.cpp
+++ b/packages/core/src/forwarding/come_back.cpp
@@ -1,4 +1,4 @@
-/** @file come_back.cpp When refused callers are told to come back. */
+/** @file come_back.cpp Retry delays for refused callers. */
 
 #include "forwarding/come_back_func.h"
 
@@ -10,21 +10,23 @@
 
 namespace {
 
-/** Part of the time left for which callers wait before they come back. */
-constexpr int PartToComeBack = 3;
-/** Times differ by up to this percentage of themselves. */
-constexpr uint64_t SpreadPercent = 60;
+/** Divisor of the remaining time for the longest retry delay. */
+constexpr int RetryDelayDivisor = 3;
+/** Random part of a delay, in percent of its fixed part. */
+constexpr uint64_t JitterPercent = 60;
 
 } // namespace
 
 Millis comeBackAfter(const Failure &Why, Duration Left, uint64_t &Random) {
-  const Millis Most = std::max(toMillis(Left / PartToComeBack), Millis{0});
+  const Millis MaxDelay =
+      std::max(toMillis(Left / RetryDelayDivisor), Millis{0});
   const auto Percent =
-      static_cast<int64_t>(100 + nextRandom(Random) % (SpreadPercent + 1));
-  const Millis Longest = retryAfter(Why) * Percent / 100;
-  // Cut off at the end they would be told one time again.
-  return std::min(Longest,
-                  Most * Percent / static_cast<int64_t>(100 + SpreadPercent));
+      static_cast<int64_t>(100 + nextRandom(Random) % (JitterPercent + 1));
+  const Millis Delay = retryAfter(Why) * Percent / 100;
+  // The upper bound is randomized as well: a fixed one would give all callers
+  // above it the same delay.
+  return std::min(Delay, MaxDelay * Percent /
+                             static_cast<int64_t>(100 + JitterPercent));
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/come_back_func.h
+++ b/packages/core/src/forwarding/come_back_func.h
@@ -1,4 +1,4 @@
-/** @file come_back_func.h When refused callers are told to come back. */
+/** @file come_back_func.h Retry delays for refused callers. */
 
 #ifndef JACINTHPOND_CORE_COME_BACK_FUNC_H
 #define JACINTHPOND_CORE_COME_BACK_FUNC_H
@@ -9,13 +9,13 @@
 namespace jacinthpond {
 
 /**
- * Gives the time that a refused caller is told to stay away. Callers that were
- * refused in the same moment, as after a restart of everything, are told
- * different times: together they would find all places taken once more.
+ * Gives the randomized retry delay that a refused caller is told. Callers that
+ * were refused at the same moment, as after a restart of the whole fleet, must
+ * not retry together: most of them would find all slots taken again.
  * @param Why The refusal.
- * @param Left Time that the caller has left; it would not wait for most of it.
- * @param Random State of the random numbers.
- * @return The time; 0: none is told.
+ * @param Left Remaining time of the caller; the delay is only a part of it.
+ * @param Random State of the random generator.
+ * @return The delay; 0: none is told.
  */
 Millis comeBackAfter(const Failure &Why, Duration Left, uint64_t &Random);
 
--- a/packages/core/src/forwarding/event_stream.cpp
+++ b/packages/core/src/forwarding/event_stream.cpp
@@ -1,4 +1,5 @@
-/** @file event_stream.cpp Server-sent events cut at their boundaries. */
+/** @file event_stream.cpp Splitting a stream of server-sent events at event
+ * boundaries. */
 
 #include "forwarding/event_stream_func.h"
 
@@ -8,7 +9,8 @@
 
 namespace {
 
-/** Gives the length of the first event with its blank line; 0: not whole. */
+/** Gives the length in bytes of the first event with its blank line; 0: it is
+ * incomplete. */
 size_t firstEventBytes(std::string_view Text) {
   const size_t Lf = Text.find("\n\n");
   const size_t CrLf = Text.find("\r\n\r\n");
@@ -17,8 +19,8 @@
   return Lf < CrLf ? Lf + 2 : CrLf + 4;
 }
 
-/** Reads the id line of an event. */
-std::optional<uint64_t> eventId(std::string_view Event) {
+/** Parses the id line of an event; nothing: it has none that is a number. */
+std::optional<uint64_t> parseEventId(std::string_view Event) {
   constexpr std::string_view Name = "id:";
   for (size_t At = 0; At < Event.size();) {
     const size_t End = std::min(Event.find('\n', At), Event.size());
@@ -44,12 +46,12 @@
   Stream.Partial += Bytes;
   size_t Done = 0;
   const std::string_view All = Stream.Partial;
-  EventVerdict Verdict = EventVerdict::Good;
+  EventVerdict Status = EventVerdict::Good;
   while (const size_t n = firstEventBytes(All.substr(Done))) {
     const std::string_view Event = All.substr(Done, n);
-    if (const auto Id = eventId(Event)) {
+    if (const auto Id = parseEventId(Event)) {
       if (Stream.LastId && *Id != *Stream.LastId + 1) {
-        Verdict = EventVerdict::OutOfOrder;
+        Status = EventVerdict::OutOfOrder;
         break;
       }
       Stream.LastId = Id;
@@ -58,9 +60,9 @@
     Done += n;
   }
   Stream.Partial.erase(0, Done);
-  if (Verdict == EventVerdict::Good && Stream.Partial.size() > MaxEventBytes)
+  if (Status == EventVerdict::Good && Stream.Partial.size() > MaxEventBytes)
     return EventVerdict::TooLarge;
-  return Verdict;
+  return Status;
 }
 
 void dropPartialEvent(EventStream &Stream) { Stream.Partial.clear(); }
--- a/packages/core/src/forwarding/event_stream_func.h
+++ b/packages/core/src/forwarding/event_stream_func.h
@@ -1,9 +1,10 @@
-/** @file event_stream_func.h Server-sent events cut at their boundaries.
+/** @file event_stream_func.h Splitting a stream of server-sent events at event
+ * boundaries.
  *
- * A back end may stop in the middle of an event. A caller that got a part of
- * it could not be given the rest by another back end, so nothing leaves here
- * before its event is whole. Ids must rise by one: a second run that begins
- * elsewhere than where the first one ended would be joined to it unseen.
+ * A back end may fail in the middle of an event, and the back end that resumes
+ * the stream sends that event again from its start. So only complete events are
+ * forwarded. Event ids must rise by one: otherwise a stream that is resumed at
+ * the wrong event would be joined to the first part unnoticed.
  */
 
 #ifndef JACINTHPOND_CORE_EVENT_STREAM_FUNC_H
@@ -16,17 +17,18 @@
 namespace jacinthpond {
 
 /**
- * Takes bytes of a stream.
+ * Adds received bytes to a stream and appends the events that they complete to
+ * the output.
  * @param Stream State to change.
- * @param Bytes What came.
- * @param Out Whole events are appended.
- * @return Good, or why the stream cannot go on.
+ * @param Bytes Received bytes.
+ * @param Out Complete events are appended.
+ * @return Good, or why the stream cannot continue.
  */
 EventVerdict putEvents(EventStream &Stream, std::string_view Bytes,
                        std::string &Out);
 
 /**
- * Forgets a part of an event that will not be completed.
+ * Discards the start of an event that will not be completed.
  * @param Stream State to change.
  */
 void dropPartialEvent(EventStream &Stream);
--- a/packages/core/src/forwarding/event_stream_type.h
+++ b/packages/core/src/forwarding/event_stream_type.h
@@ -1,4 +1,5 @@
-/** @file event_stream_type.h Server-sent events cut at their boundaries. */
+/** @file event_stream_type.h Splitting a stream of server-sent events at event
+ * boundaries. */
 
 #ifndef JACINTHPOND_CORE_EVENT_STREAM_TYPE_H
 #define JACINTHPOND_CORE_EVENT_STREAM_TYPE_H
@@ -9,20 +10,20 @@
 
 namespace jacinthpond {
 
-/** Largest event taken, in bytes; a back end that sends more is broken. */
+/** Size limit of an event, in bytes; a back end that exceeds it is faulty. */
 constexpr size_t MaxEventBytes = 1 << 20;
 
-/** One stream on its way through; only whole events leave it. */
+/** A stream that is forwarded, of which only complete events are passed on. */
 struct EventStream {
-  std::string Partial;            ///< Bytes of an event whose end has not come.
-  std::optional<uint64_t> LastId; ///< Id of the last event that went through.
+  std::string Partial;            ///< Start of an incomplete event.
+  std::optional<uint64_t> LastId; ///< Id of the last forwarded event.
 };
 
-/** What became of bytes that were put into a stream. */
+/** Result of adding bytes to a stream. */
 enum class EventVerdict : uint8_t {
-  Good,       ///< Whole events may go out.
-  OutOfOrder, ///< An id does not follow the one before.
-  TooLarge    ///< An event exceeds the limit.
+  Good,       ///< The stream is valid so far.
+  OutOfOrder, ///< An event id does not follow the one before.
+  TooLarge    ///< An event exceeds MaxEventBytes.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/fleet_snapshot.cpp
+++ b/packages/core/src/forwarding/fleet_snapshot.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_snapshot.cpp What the traffic thread knows of the fleet. */
+/** @file fleet_snapshot.cpp State of the fleet for the traffic thread. */
 
 #include "forwarding/fleet_snapshot_func.h"
 
@@ -13,26 +13,26 @@
 
 namespace {
 
-/** Time beyond the wait of a new process for its peers in which its view
- * becomes fresh: they start with it, and some of them answer on a second try.
- */
-constexpr Millis JoinSlack{300};
+/** Time beyond the wait for peers in which the view of a new process becomes
+ * fresh: peers may start at the same time and answer only a second attempt. */
+constexpr Millis JoinMargin{300};
 
-/** Names the entries with a working link that take callers. */
+/** Gives the names of entries with a working link that accept callers. */
 std::set<HostName> linkedEntries(const Membership &Fleet) {
   std::set<HostName> Names;
   for (const auto &[Id, Link] : Fleet.Links) {
-    const bool Takes = Link.State == LinkState::Ready &&
-                       Link.Peer.Sender == Role::Entry && !Link.Leaving &&
-                       Link.Version.Value > 0 &&
-                       !isDeparting(Fleet, Link.Peer.Name, Link.Peer.Run);
-    if (Takes)
+    const bool Accepts = Link.State == LinkState::Ready &&
+                         Link.Peer.Sender == Role::Entry && !Link.Leaving &&
+                         Link.Version.Value > 0 &&
+                         !isDeparting(Fleet, Link.Peer.Name, Link.Peer.Run);
+    if (Accepts)
       Names.insert(Link.Peer.Name);
   }
   return Names;
 }
 
-AgentNews newsOf(const PeerLink &Link) {
+/** Makes a report from the load that an agent last sent on its link. */
+AgentNews makeReport(const PeerLink &Link) {
   AgentNews News;
   News.Server.Value = Link.Peer.Name.Value;
   News.State = Link.Load.State;
@@ -47,7 +47,7 @@
 } // namespace
 
 TimePoint joinedBy(TimePoint Since, Millis JoinWait) {
-  return Since + JoinWait + JoinSlack;
+  return Since + JoinWait + JoinMargin;
 }
 
 FleetSnapshot fleetSnapshot(const EntryState &Entry, TimePoint Now) {
@@ -57,22 +57,23 @@
                    (viewIsFresh(Fleet) ||
                     (Entry.Config.ServeCutOff && Fleet.Joining.WasFresh));
   Snapshot.ReadyBy = joinedBy(Fleet.Joining.Since, Fleet.Times.JoinWait);
-  // One that stood still has heard of nobody yet. Taken for an outage of the
-  // list, it would let servers that vanished meanwhile be used for a while.
+  // An entry that was paused has heard from no peer yet. If that counted as an
+  // outage of the list, servers that left the list during the pause would still
+  // be used for some time.
   Snapshot.ListingAway = viewIsFresh(Fleet) && !anybodyAnswered(Fleet, Now);
   const std::set<HostName> Linked = linkedEntries(Fleet);
-  const bool SelfTakes = Snapshot.Ready && !Entry.Stopping;
+  const bool SelfAccepts = Snapshot.Ready && !Entry.Stopping;
   const std::vector<EntryHost> Known =
       knownEntries(Entry.View.InForce.get(), Fleet);
-  // One that stood still, or is cut off, has no links for a while: what all
-  // entries share must not be taken for its own until then. An entry without a
-  // link is remembered long enough for that.
+  // An entry that was paused or is cut off has no links for some time, and must
+  // not use the whole of what all entries share. So entries without a link
+  // count as well, as long as the roster remembers them.
   Snapshot.Sharers = static_cast<uint32_t>(std::max<size_t>(1, Known.size()));
   for (const EntryHost &Host : Known)
     Snapshot.SharerNames.push_back(Host.Name);
   for (const EntryHost &Host : Known)
     if (Linked.contains(Host.Name) ||
-        (Host.Name == Fleet.Self.Name && SelfTakes))
+        (Host.Name == Fleet.Self.Name && SelfAccepts))
       Snapshot.Alive.push_back(Host);
   return Snapshot;
 }
@@ -87,7 +88,7 @@
     Heard[Link.Peer.Name] = Link.LoadAt;
     const auto it = Told.LoadAt.find(Link.Peer.Name);
     if (it == Told.LoadAt.end() || it->second != Link.LoadAt)
-      News.push_back(newsOf(Link));
+      News.push_back(makeReport(Link));
   }
   for (const auto &[Name, LoadAt] : Told.LoadAt)
     if (!Heard.contains(Name))
--- a/packages/core/src/forwarding/fleet_snapshot_func.h
+++ b/packages/core/src/forwarding/fleet_snapshot_func.h
@@ -1,4 +1,4 @@
-/** @file fleet_snapshot_func.h What the traffic thread knows of the fleet. */
+/** @file fleet_snapshot_func.h State of the fleet for the traffic thread. */
 
 #ifndef JACINTHPOND_CORE_FLEET_SNAPSHOT_FUNC_H
 #define JACINTHPOND_CORE_FLEET_SNAPSHOT_FUNC_H
@@ -9,7 +9,8 @@
 namespace jacinthpond {
 
 /**
- * Gives until when a process that joins the fleet usually has a fresh view.
+ * Gives the time by which a process that joins the fleet is expected to have a
+ * fresh view.
  * @param Since When it began to join.
  * @param JoinWait Its longest wait for peers.
  * @return The time.
@@ -17,7 +18,7 @@
 TimePoint joinedBy(TimePoint Since, Millis JoinWait);
 
 /**
- * Sums up the fleet.
+ * Takes a snapshot of the fleet from an entry's state.
  * @param Entry The state.
  * @param Now Current time.
  * @return The snapshot.
@@ -25,10 +26,11 @@
 FleetSnapshot fleetSnapshot(const EntryState &Entry, TimePoint Now);
 
 /**
- * Gives what agents said since the last time, and which fell silent.
+ * Gives the reports that agents sent since the last call, and a report for each
+ * agent that is not connected any more.
  * @param Entry The state.
- * @param Told What was given already; brought up to date.
- * @return The news.
+ * @param Told Reports that were already passed on; updated.
+ * @return The new reports.
  */
 std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Told);
 
--- a/packages/core/src/forwarding/fleet_snapshot_type.h
+++ b/packages/core/src/forwarding/fleet_snapshot_type.h
@@ -1,4 +1,4 @@
-/** @file fleet_snapshot_type.h What the traffic thread knows of the fleet. */
+/** @file fleet_snapshot_type.h State of the fleet for the traffic thread. */
 
 #ifndef JACINTHPOND_CORE_FLEET_SNAPSHOT_TYPE_H
 #define JACINTHPOND_CORE_FLEET_SNAPSHOT_TYPE_H
@@ -12,21 +12,23 @@
 
 namespace jacinthpond {
 
-/** What the control thread tells the traffic thread of the fleet. */
+/** State of the fleet that the control thread passes to the traffic thread. */
 struct FleetSnapshot {
-  bool Ready = false;           ///< This entry may pass requests on.
-  TimePoint ReadyBy;            ///< Until then it may become ready.
-  bool ListingAway = false;     ///< Nobody can read the platform's list.
-  std::vector<EntryHost> Alive; ///< Entries that take callers, self included.
-  uint32_t Sharers = 1; ///< Entries that may use the back ends, self included.
-  std::vector<HostName> SharerNames; ///< Their names, as far as known.
+  bool Ready = false;       ///< This entry may forward requests.
+  TimePoint ReadyBy;        ///< When it is expected to be ready.
+  bool ListingAway = false; ///< No process can read the platform's
+  ///< list of servers.
+  std::vector<EntryHost> Alive; ///< Entries that accept callers, with this one.
+  uint32_t Sharers = 1; ///< Entries that share the back ends, with this one.
+  std::vector<HostName>
+      SharerNames; ///< Names of those entries; empty: unknown.
 
   bool operator==(const FleetSnapshot &) const = default;
 };
 
-/** What was told to the traffic thread of each agent. */
+/** Agent reports that were already passed to the traffic thread. */
 struct ToldNews {
-  std::map<HostName, TimePoint> LoadAt; ///< Age of the load told last.
+  std::map<HostName, TimePoint> LoadAt; ///< Arrival of the last one, by agent.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/liveness.cpp
+++ b/packages/core/src/forwarding/liveness.cpp
@@ -1,4 +1,4 @@
-/** @file liveness.cpp Whether the host of a back end runs. */
+/** @file liveness.cpp Detecting unresponsive hosts of back ends. */
 
 #include "forwarding/liveness_func.h"
 
@@ -8,57 +8,58 @@
 
 namespace {
 
-/** Wait for an answer: the way between regions and back, with one packet that
- * is sent again. */
-constexpr Millis LivenessWait{250};
-/** After so long the agent may have ended while nobody could hear of it, and
- * the back end may live: single requests find out. */
-constexpr Millis LongestStandstill{10000};
+/** Timeout of a probe: a round trip between regions with one packet that is
+ * sent again. */
+constexpr Millis ProbeTimeout{250};
+/** Time after which a host no longer counts as unresponsive. Its agent may have
+ * ended while it was cut off, so that it cannot answer although the back end
+ * runs: single requests check that. */
+constexpr Millis MaxUnresponsiveTime{10000};
 
 } // namespace
 
 bool hostAsked(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr || !View->Agent || View->Agent->Link == LinkId{} ||
-      View->Unanswered)
+      View->ProbePendingSince)
     return false;
-  View->Unanswered = Now;
+  View->ProbePendingSince = Now;
   return true;
 }
 
 void hostHeard(ServerPool &Pool, LinkId Link) {
   for (auto &[Id, View] : Pool.Servers)
     if (View.Agent && View.Agent->Link == Link)
-      View.Unanswered.reset();
+      View.ProbePendingSince.reset();
 }
 
 void forgetQuestion(ServerPool &Pool, const InstanceId &Id) {
   if (ServerView *View = findServer(Pool, Id))
-    View->Unanswered.reset();
+    View->ProbePendingSince.reset();
 }
 
 std::optional<TimePoint> standsStillFrom(const ServerPool &Pool,
                                          const InstanceId &Id) {
   const ServerView *View = findServer(Pool, Id);
-  if (View == nullptr || !View->Unanswered)
+  if (View == nullptr || !View->ProbePendingSince)
     return std::nullopt;
-  return *View->Unanswered + LivenessWait;
+  return *View->ProbePendingSince + ProbeTimeout;
 }
 
 bool standsStill(const ServerView &View, TimePoint Now) {
-  if (!View.Unanswered)
+  if (!View.ProbePendingSince)
     return false;
-  const Duration Silent = Now - *View.Unanswered;
-  return Silent >= LivenessWait && Silent < LongestStandstill;
+  const Duration Pending = Now - *View.ProbePendingSince;
+  return Pending >= ProbeTimeout && Pending < MaxUnresponsiveTime;
 }
 
-void agentLinkEnded(ServerView &View, bool Silent, TimePoint Now) {
-  // The host of an agent that was killed closes its connections, and the back
-  // end there goes on.
+void recordAgentLinkEnd(ServerView &View, bool Silent, TimePoint Now) {
+  // When an agent is killed its host closes the connections, so the host runs,
+  // and the back end goes on.
   if (!Silent)
-    View.Unanswered.reset();
-  else if (!View.Unanswered)
-    View.Unanswered = Now - LivenessWait;
+    View.ProbePendingSince.reset();
+  else if (!View.ProbePendingSince)
+    View.ProbePendingSince = Now - ProbeTimeout;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/liveness_func.h
+++ b/packages/core/src/forwarding/liveness_func.h
@@ -1,9 +1,9 @@
-/** @file liveness_func.h Whether the host of a back end runs.
+/** @file liveness_func.h Detecting unresponsive hosts of back ends.
  *
- * A host that stands still keeps its connections open, so that nothing shows
- * what has become of the requests there. Its agent answers a question on the
- * open link at once, however busy the back end is: silence after a question
- * tells a host that stands still from a back end that is slow.
+ * A paused host keeps its connections open, so requests there hang without any
+ * sign of failure. An agent answers a probe (Ping) on its open link at once,
+ * however busy the back end is: an unanswered probe distinguishes an
+ * unresponsive host from a slow back end.
  */
 
 #ifndef JACINTHPOND_CORE_LIVENESS_FUNC_H
@@ -14,53 +14,55 @@
 namespace jacinthpond {
 
 /**
- * A question was sent to the agent of a back end that it answers at once.
+ * Records that a probe is sent to the agent of a back end.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Now Current time.
- * @return False where an earlier one has no answer yet, or there is no agent.
+ * @return False when none may be sent: an earlier one is unanswered, or there
+ * is no agent.
  */
 bool hostAsked(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
- * An agent said anything.
+ * Records that any message came from an agent; it answers a pending probe.
  * @param Pool State to change.
- * @param Link The link to it.
+ * @param Link Link to the agent.
  */
 void hostHeard(ServerPool &Pool, LinkId Link);
 
 /**
- * Forgets a question whose answer may lie here unread: this process itself got
- * no processor for a while.
+ * Discards a pending probe whose answer may still be unread because this
+ * process itself was not scheduled for some time.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  */
 void forgetQuestion(ServerPool &Pool, const InstanceId &Id);
 
 /**
- * Says from when on a back end counts as standing still.
+ * Gives the time from which the host of a back end counts as unresponsive.
  * @param Pool The state.
- * @param Id Which back end.
- * @return The time; nothing while no question is open.
+ * @param Id Instance of the back end.
+ * @return The time; nothing while no probe is pending.
  */
 std::optional<TimePoint> standsStillFrom(const ServerPool &Pool,
                                          const InstanceId &Id);
 
 /**
- * Says whether a back end counts as standing still.
+ * Says whether the host of a back end counts as unresponsive.
  * @param View The back end.
  * @param Now Current time.
- * @return True when its host left a question without an answer, for a while.
+ * @return True when a probe timed out; false again some time later, when single
+ * requests may check whether the back end has recovered.
  */
 bool standsStill(const ServerView &View, TimePoint Now);
 
 /**
- * Takes the end of a link to an agent.
+ * Updates the liveness of a back end's host when the link to its agent ends.
  * @param View State to change.
- * @param Silent Whether it ended in silence.
+ * @param Silent Whether the link timed out instead of being closed.
  * @param Now Current time.
  */
-void agentLinkEnded(ServerView &View, bool Silent, TimePoint Now);
+void recordAgentLinkEnd(ServerView &View, bool Silent, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/place_search.cpp
+++ b/packages/core/src/forwarding/place_search.cpp
@@ -1,4 +1,5 @@
-/** @file place_search.cpp Looking for a back end that can begin at once. */
+/** @file place_search.cpp Searching for a back end with a short prefill
+ * backlog. */
 
 #include "forwarding/place_search_func.h"
 
@@ -9,34 +10,38 @@
 namespace {
 
 /**
- * What a back end may have to read to be taken at the first asks, from a
- * fraction of a usual prompt up to one. The longer the search, the less is
- * gained by another ask, which costs a way to another region and back, 6 ms.
+ * Longest prefill backlog that is accepted at each of the first slot requests,
+ * from a fraction of a usual prompt up to a whole one. It rises because further
+ * slot requests gain less and less, and each costs a round trip to another
+ * region, 6 ms.
  */
-constexpr std::array<Millis, 5> MostReadingByAsk = {
+constexpr std::array<Millis, 5> MaxBacklogByRequest = {
     Millis(5), Millis(10), Millis(20), Millis(40), Millis(60)};
-/** Agents asked at most: after the choosy asks, who is told by three that they
- * are full would seldom find room at a fourth. */
-constexpr uint32_t MaxAsks = MostReadingByAsk.size() + 3;
+/** Limit of slot requests: after those that limit the backlog, three more. If
+ * all three back ends are full, a fourth seldom has room. */
+constexpr uint32_t MaxSlotRequests = MaxBacklogByRequest.size() + 3;
 
 } // namespace
 
-bool mayAskMore(const PlaceSearch &Search) { return Search.Asks < MaxAsks; }
+bool mayAskMore(const PlaceSearch &Search) {
+  return Search.SlotRequests < MaxSlotRequests;
+}
 
 Millis mostReading(const PlaceSearch &Search) {
-  return Search.Asks < MostReadingByAsk.size() ? MostReadingByAsk[Search.Asks]
-                                               : Millis{0};
+  return Search.SlotRequests < MaxBacklogByRequest.size()
+             ? MaxBacklogByRequest[Search.SlotRequests]
+             : Millis{0};
 }
 
 void placeAsked(PlaceSearch &Search) {
-  Search.Choosy = mostReading(Search).count() > 0;
-  ++Search.Asks;
+  Search.IdleOnly = mostReading(Search).count() > 0;
+  ++Search.SlotRequests;
 }
 
 void placeRefused(PlaceSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
                   bool OnlyBusy) {
   Needs.Full.insert(Id);
-  if (Search.Choosy && OnlyBusy)
+  if (Search.IdleOnly && OnlyBusy)
     Search.Busy.insert(Id);
   if (mostReading(Search).count() == 0)
     takeBusyOnes(Search, Needs);
@@ -48,7 +53,7 @@
     Needs.Full.erase(Id);
   Search.Busy.clear();
   while (mostReading(Search).count() > 0)
-    ++Search.Asks;
+    ++Search.SlotRequests;
   return Any;
 }
 
--- a/packages/core/src/forwarding/place_search_func.h
+++ b/packages/core/src/forwarding/place_search_func.h
@@ -1,10 +1,12 @@
-/** @file place_search_func.h Looking for a back end that can begin at once.
+/** @file place_search_func.h Searching for a back end with a short prefill
+ * backlog.
  *
- * An entry hears of the load of a back end every half second, while a prompt is
- * read in 20 to 100 ms: what it believes about prompts that wait to be read is
- * always out of date. So it asks, and takes a busy back end only after it found
- * no idle one. A back end reads for about a third of its time at full load, so
- * that the third one that is asked is nearly always idle.
+ * A back end reports its load every half second, while the prefill of a prompt
+ * takes 20 to 100 ms, so an entry's view of the backlog is always out of date.
+ * An entry therefore asks the agents of several back ends for a slot, and
+ * accepts a busy back end only after it found no idle one. At full load a back
+ * end spends about a third of its time on prefill, so one of the first three
+ * that are asked is nearly always idle.
  */
 
 #ifndef JACINTHPOND_CORE_PLACE_SEARCH_FUNC_H
@@ -17,37 +19,39 @@
 namespace jacinthpond {
 
 /**
- * Says whether another agent may be asked.
+ * Says whether another agent may be asked for a slot.
  * @param Search The state.
- * @return False once enough of them were asked.
+ * @return False once the limit of slot requests is reached.
  */
 bool mayAskMore(const PlaceSearch &Search);
 
 /**
- * Gives what the next back end may still have to read.
+ * Gives the longest prefill backlog that the next back end may have.
  * @param Search The state.
- * @return The time that it takes; 0: any, and the request may wait there.
+ * @return The time that the backlog takes; 0: any, and the request may wait
+ * there.
  */
 Millis mostReading(const PlaceSearch &Search);
 
 /**
- * Another agent is asked.
+ * Counts a slot request that is sent to an agent.
  * @param Search State to change.
  */
 void placeAsked(PlaceSearch &Search);
 
 /**
- * The agent that was asked last has no place.
+ * Records that the last agent that was asked refused a slot.
  * @param Search State to change.
- * @param Needs State to change: the back end is not chosen again for now.
- * @param Id Which back end.
- * @param OnlyBusy Whether it might take the request later.
+ * @param Needs State to change: the back end is excluded for now.
+ * @param Id Instance of the back end.
+ * @param OnlyBusy Whether it may still accept the request once it is less busy.
  */
 void placeRefused(PlaceSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
                   bool OnlyBusy);
 
 /**
- * Nobody is idle: those that were passed over for being busy count again.
+ * Ends the search for an idle back end: those that refused only because they
+ * were busy become candidates again.
  * @param Search State to change.
  * @param Needs State to change.
  * @return Whether there are any.
--- a/packages/core/src/forwarding/place_search_type.h
+++ b/packages/core/src/forwarding/place_search_type.h
@@ -1,4 +1,5 @@
-/** @file place_search_type.h Looking for a back end that can begin at once. */
+/** @file place_search_type.h Searching for a back end with a short prefill
+ * backlog. */
 
 #ifndef JACINTHPOND_CORE_PLACE_SEARCH_TYPE_H
 #define JACINTHPOND_CORE_PLACE_SEARCH_TYPE_H
@@ -10,11 +11,12 @@
 
 namespace jacinthpond {
 
-/** Agents that one request asked for a place. */
+/** Slot requests sent to agents for one request of a caller. */
 struct PlaceSearch {
-  uint32_t Asks = 0;         ///< Places asked for.
-  bool Choosy = false;       ///< The last ask wanted an idle back end.
-  std::set<InstanceId> Busy; ///< Refused only because they were not idle.
+  uint32_t SlotRequests = 0; ///< Slot requests sent.
+  bool IdleOnly = false;     ///< The last one limited the prefill backlog.
+  std::set<InstanceId>
+      Busy; ///< Back ends that refused only because they were busy.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/rate_share.cpp
+++ b/packages/core/src/forwarding/rate_share.cpp
@@ -1,5 +1,4 @@
-/** @file rate_share.cpp Rates that a back end bears, kept by all entries
- * together. */
+/** @file rate_share.cpp Sharing the rate limit of a back end among entries. */
 
 #include "forwarding/rate_share_func.h"
 
@@ -14,30 +13,32 @@
 namespace {
 
 /**
- * Part of a rate that entries use together where there is no agent. Two halves
- * of the fleet that do not see each other use twice as much.
+ * Share of a rate that all entries together use where there is no agent. Two
+ * halves of a partitioned fleet use twice as much.
  */
-constexpr double PartWithoutAgents = 0.65;
-/** The same where the agent is silent: it may still give places to others. */
-constexpr double PartPastAgents = 0.4;
-/** Entries that have a part of a small rate, and how many more have one for
- * each request a second. */
-constexpr double LeastSharers = 2;
-constexpr double SharersByRate = 0.2;
-/** Time since a limit was heard of after which the first entry that has no part
- * of it finds out whether it still holds; the next ones take longer. They hear
- * from others that it was lifted, unless a link was away then. */
+constexpr double ShareWithoutAgents = 0.65;
+/** The same where the agent is silent: it may still grant slots to others. */
+constexpr double ShareWithSilentAgents = 0.4;
+/** Entries that get a share of the lowest rates, and how many more get one for
+ * each request per second. */
+constexpr double MinSharers = 2;
+constexpr double SharersPerRate = 0.2;
+/** Time since a limit was last stated after which the first entry without a
+ * share sends a request to check whether the limit still holds; each further
+ * entry waits one such time more. Normally other entries report that a limit
+ * was lifted, but the notice is lost while a link is down. */
 constexpr std::chrono::seconds ProbeAfter{30};
-/** Least requests a second that a service is taken to bear. */
-constexpr double LeastSum = 0.25;
-/** Longest time for which turns are given out. */
-constexpr Millis LongestTurn{10000};
-/** Age above which all news of a limit is equally old. */
-constexpr Millis LongestAge{3600000};
-/** Shortest time for which an agent that refused for a rate is not asked. */
-constexpr Millis ShortestNoPlace{10};
-
-/** Counts the entries that get a part of a back end's rate before this one. */
+/** Lowest rate assumed for a service, in requests per second. */
+constexpr double MinServiceRate = 0.25;
+/** Longest time ahead for which retry times are assigned. */
+constexpr Millis MaxRetryAhead{10000};
+/** Upper bound of the age of a rate limit notice. */
+constexpr Millis MaxNoticeAge{3600000};
+/** Shortest time without slot requests after a refusal for the rate limit. */
+constexpr Millis MinNoSlotTime{10};
+
+/** Counts the entries that rank before this one for a share of a back end's
+ * rate. */
 uint32_t entriesBefore(const ServerPool &Pool, const ServerView &View) {
   const auto Score = [&](const HostName &Name) {
     return rendezvousScore(View.Listed.Id.Value, Name.Value);
@@ -48,64 +49,70 @@
 }
 
 /**
- * Gives the part of a rate that is this entry's own. What entries may send at
- * once, one request each, would alone exceed a small rate, so only so many of
- * them have a part.
+ * Gives this entry's share of a rate, from 0 to 1. Every entry with a share may
+ * send one request at once, which alone would exceed a low rate if all entries
+ * had one, so the number of entries with a share depends on the rate.
  */
-double partOf(const ServerRate &Rate, const ServerPool &Pool,
-              const ServerView &View, const Service &Kind) {
+double shareOfRate(const ServerRate &Rate, const ServerPool &Pool,
+                   const ServerView &View, const Service &Spec) {
   const auto Sharers = static_cast<uint32_t>(
-      std::min(LeastSharers + SharersByRate * *Rate.PerSecond,
+      std::min(MinSharers + SharersPerRate * *Rate.PerSecond,
                std::max(1.0, static_cast<double>(Pool.Entries))));
   if (entriesBefore(Pool, View) >= Sharers)
     return 0;
-  const bool Agents = !Kind.Model.Value.empty();
-  return (Agents ? PartPastAgents : PartWithoutAgents) / Sharers;
+  const bool Agents = !Spec.Model.Value.empty();
+  return (Agents ? ShareWithSilentAgents : ShareWithoutAgents) / Sharers;
 }
 
-/** Says whether an entry without a part may find out whether a limit holds. */
+/** Says whether an entry without a share may check whether a limit still holds.
+ */
 bool mayProbe(const ServerPool &Pool, const ServerView &View, TimePoint Now) {
-  const int64_t Turn = 1 + int64_t{entriesBefore(Pool, View)};
-  return Now - View.Rate.NamedAt >= ProbeAfter * Turn;
+  const int64_t Rank = 1 + int64_t{entriesBefore(Pool, View)};
+  return Now - View.Rate.NamedAt >= ProbeAfter * Rank;
 }
 
-bool limitAllows(const ServerPool &Pool, ServerView &View, const Service &Kind,
-                 TimePoint Now) {
+/** Says whether the rate limit that a back end sets for itself allows a
+ * request.
+ */
+bool isWithinLimit(const ServerPool &Pool, ServerView &View,
+                   const Service &Spec, TimePoint Now) {
   if (!View.Rate.PerSecond)
     return true;
-  const double Part = partOf(View.Rate, Pool, View, Kind);
-  return Part > 0 ? rateAllowsRequest(View.Rate, Part, Now)
-                  : mayProbe(Pool, View, Now);
+  const double Share = shareOfRate(View.Rate, Pool, View, Spec);
+  return Share > 0 ? rateAllowsRequest(View.Rate, Share, Now)
+                   : mayProbe(Pool, View, Now);
 }
 
-bool coldAllows(const ServerPool &Pool, ServerView &View, const Service &Kind,
-                TimePoint Now) {
-  if (Kind.ColdPerSecond <= 0 || Now >= View.ColdUntil)
+/** Says whether the rate of a back end's cold start allows a request. */
+bool isWithinColdRate(const ServerPool &Pool, ServerView &View,
+                      const Service &Spec, TimePoint Now) {
+  if (Spec.ColdPerSecond <= 0 || Now >= View.ColdUntil)
     return true;
-  View.Cold.PerSecond = Kind.ColdPerSecond;
-  return rateAllowsRequest(View.Cold, partOf(View.Cold, Pool, View, Kind), Now);
+  View.ColdLimit.PerSecond = Spec.ColdPerSecond;
+  return rateAllowsRequest(View.ColdLimit,
+                           shareOfRate(View.ColdLimit, Pool, View, Spec), Now);
 }
 
 } // namespace
 
-bool ratesAllow(const ServerPool &Pool, ServerView &View, const Service &Kind,
-                TimePoint Now) {
+bool isWithinRates(const ServerPool &Pool, ServerView &View,
+                   const Service &Spec, TimePoint Now) {
   if (hasAgent(View))
-    return Now >= View.NoPlaceUntil;
-  return limitAllows(Pool, View, Kind, Now) &&
-         coldAllows(Pool, View, Kind, Now);
+    return Now >= View.NoSlotUntil;
+  return isWithinLimit(Pool, View, Spec, Now) &&
+         isWithinColdRate(Pool, View, Spec, Now);
 }
 
-Millis turnToComeBack(ServerPool &Pool, const ServiceName &Service,
-                      double PerSecond, TimePoint Now) {
-  const double Own = std::max(PerSecond, LeastSum) /
+Millis assignRetryTime(ServerPool &Pool, const ServiceName &Service,
+                       double PerSecond, TimePoint Now) {
+  const double Own = std::max(PerSecond, MinServiceRate) /
                      static_cast<double>(std::max(1U, Pool.Entries));
-  const auto Apart = std::chrono::duration_cast<Duration>(
+  const auto Spacing = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(1 / Own));
-  const TimePoint Last = Now + LongestTurn;
-  TimePoint &Next = Pool.NextTurn[Service];
-  Next = std::clamp(Next + Apart, std::min(Now + Apart, Last), Last);
-  return toMillis(Next - Now);
+  const TimePoint Latest = Now + MaxRetryAhead;
+  TimePoint &Retry = Pool.LastRetryTime[Service];
+  Retry = std::clamp(Retry + Spacing, std::min(Now + Spacing, Latest), Latest);
+  return toMillis(Retry - Now);
 }
 
 void sentPastAgent(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
@@ -113,7 +120,7 @@
   if (View == nullptr)
     return;
   if (Now < View->ColdUntil)
-    countRequest(View->Cold);
+    countRequest(View->ColdLimit);
   countRequest(View->Rate);
   if (View->Rate.PerSecond && mayProbe(Pool, *View, Now))
     View->Rate.NamedAt = Now;
@@ -134,7 +141,7 @@
   if (View == nullptr)
     return RateChange::None;
   const Millis Age(static_cast<int64_t>(
-      std::min<uint64_t>(Told.AgeMillis, LongestAge.count())));
+      std::min<uint64_t>(Told.AgeMillis, MaxNoticeAge.count())));
   return Told.PerSecond ? rateNamed(View->Rate, *Told.PerSecond, Now - Age)
                         : rateNotNamed(View->Rate, Now - Age);
 }
@@ -142,7 +149,7 @@
 void rateRefused(ServerPool &Pool, const InstanceId &Id, Duration Wait,
                  TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
-    View->NoPlaceUntil = Now + std::max(Wait, Duration(ShortestNoPlace));
+    View->NoSlotUntil = Now + std::max(Wait, Duration(MinNoSlotTime));
 }
 
 std::optional<RateHeard> rateToTell(const ServerView &View, TimePoint Now) {
--- a/packages/core/src/forwarding/rate_share_func.h
+++ b/packages/core/src/forwarding/rate_share_func.h
@@ -1,9 +1,8 @@
-/** @file rate_share_func.h Rates that a back end bears, kept by all entries
- * together.
+/** @file rate_share_func.h Sharing the rate limit of a back end among entries.
  *
- * A back end may limit its rate itself, and bears little while it is cold.
- * Where an agent gives the places it counts for all entries. Past a silent
- * agent, and where there is none, entries split the rate.
+ * A back end may set a rate limit for itself, and takes only a low rate during
+ * its cold start. An agent that grants the slots enforces both for all entries.
+ * Where the agent is silent, or there is none, entries split the rate.
  */
 
 #ifndef JACINTHPOND_CORE_RATE_SHARE_FUNC_H
@@ -14,83 +13,83 @@
 namespace jacinthpond {
 
 /**
- * Says whether the rates of a back end allow a request of this entry.
+ * Says whether the rate limits of a back end allow a request of this entry.
  * @param Pool The state.
- * @param View The back end; its counts are brought up to date.
- * @param Kind Its service.
+ * @param View The back end; its rate counters are updated.
+ * @param Spec Its service.
  * @param Now Current time.
- * @return True when one may be sent, or a place may be asked for.
+ * @return True when one may be sent, or its agent asked for a slot.
  */
-bool ratesAllow(const ServerPool &Pool, ServerView &View, const Service &Kind,
-                TimePoint Now);
+bool isWithinRates(const ServerPool &Pool, ServerView &View,
+                   const Service &Spec, TimePoint Now);
 
 /**
- * Gives when a caller may come back to a service whose back ends are all at
- * their rate. Each one that is refused here gets the next turn of this entry.
+ * Assigns a retry time to a caller of a service whose back ends are all at
+ * their rate limit. Retry times are spaced by this entry's share of the rate.
  * @param Pool State to change.
- * @param Service Which service.
- * @param PerSecond Requests a second that its back ends take together.
+ * @param Service The service.
+ * @param PerSecond Requests per second that its back ends take together.
  * @param Now Current time.
- * @return Time until that turn.
+ * @return Time until the retry.
  */
-Millis turnToComeBack(ServerPool &Pool, const ServiceName &Service,
-                      double PerSecond, TimePoint Now);
+Millis assignRetryTime(ServerPool &Pool, const ServiceName &Service,
+                       double PerSecond, TimePoint Now);
 
 /**
- * A request is sent without a place. Entries split the rates that the back end
- * bears, since no agent counts for all of them.
+ * Counts a request that is sent without a slot from an agent, against this
+ * entry's share of the rates of the back end.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Now Current time.
  */
 void sentPastAgent(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
- * An answer of a back end said what rate it takes.
+ * Records the rate limit that an answer of a back end stated.
  * @param Pool State to change.
- * @param Id Which back end.
- * @param PerSecond Limit that it named; nothing: it named none.
+ * @param Id Instance of the back end.
+ * @param PerSecond Limit in requests per second; nothing: it stated none.
  * @param SentAt When the request was sent.
  * @param Now Current time.
- * @return What is known otherwise than before.
+ * @return How the known limit changed.
  */
 RateChange rateHeard(ServerPool &Pool, const InstanceId &Id,
                      std::optional<double> PerSecond, TimePoint SentAt,
                      TimePoint Now);
 
 /**
- * Another entry told what an answer said of the rate that a back end takes.
+ * Records a rate limit that another entry learned from an answer.
  * @param Pool State to change.
- * @param Told What it told.
+ * @param Told The notice of the other entry.
  * @param Now Current time.
- * @return What is known otherwise than before; it is to be told on.
+ * @return How the known limit changed; a change must be passed on.
  */
 RateChange rateTold(ServerPool &Pool, const RateHeard &Told, TimePoint Now);
 
 /**
- * An agent gave no place, since its back end limits its rate.
+ * Records that an agent refused a slot because of its back end's rate limit.
  * @param Pool State to change.
- * @param Id Which back end.
- * @param Wait Time until it may give one.
+ * @param Id Instance of the back end.
+ * @param Wait Time until it may grant one.
  * @param Now Current time.
  */
 void rateRefused(ServerPool &Pool, const InstanceId &Id, Duration Wait,
                  TimePoint Now);
 
 /**
- * Gives what an agent has to be told before it is asked for a place: one that
- * started anew does not know the limit of its back end.
+ * Gives the rate limit notice that an agent must get before the next slot
+ * request: an agent that restarted does not know the limit of its back end.
  * @param View The back end.
  * @param Now Current time.
- * @return The message; nothing when it knows, or when there is no limit.
+ * @return The notice; nothing when the agent knows, or when there is no limit.
  */
 std::optional<RateHeard> rateToTell(const ServerView &View, TimePoint Now);
 
 /**
  * Says whether a rate limit of a back end is known.
  * @param Pool The state.
- * @param Id Which back end.
- * @return True while one is.
+ * @param Id Instance of the back end.
+ * @return True while one is known.
  */
 bool isRateLimited(const ServerPool &Pool, const InstanceId &Id);
 
--- a/packages/core/src/forwarding/repeat_budget.cpp
+++ b/packages/core/src/forwarding/repeat_budget.cpp
@@ -1,4 +1,5 @@
-/** @file repeat_budget.cpp Requests sent to a second back end, bounded. */
+/** @file repeat_budget.cpp Retry budget for requests that an entry
+ * sends to back ends itself. */
 
 #include "forwarding/repeat_budget_func.h"
 
@@ -10,37 +11,41 @@
 namespace {
 
 /**
- * Part of the fleet's bound that is used. The rest is for entries that start
- * anew with empty counts, and for a request that arrives a moment after it was
- * counted in the window before.
+ * Share of the fleet's limit that is used. The rest is a margin for entries
+ * that restart with empty counts, and for requests that were counted at the end
+ * of one window and arrive at the start of the next.
  */
-constexpr double UsedPart = 0.7;
+constexpr double UsedShare = 0.7;
 
-int64_t stepOf(const RepeatBudget &Budget, TimePoint Now) {
+/** Gives the number of the window step that a time lies in. */
+int64_t stepAt(const RepeatBudget &Budget, TimePoint Now) {
   const Duration Step = Budget.Limits.Window / BudgetSteps;
   return Now.time_since_epoch() / Step;
 }
 
-/** Moves the window on and empties the steps that it enters. */
-RepeatCounts &countsAt(RepeatBudget &Budget, const ServiceName &Service,
-                       TimePoint Now) {
+/** Advances the window of a service, clears the steps that it enters, and gives
+ * its counts. */
+RepeatCounts &advanceCounts(RepeatBudget &Budget, const ServiceName &Service,
+                            TimePoint Now) {
   RepeatCounts &Counts = Budget.Counts[Service];
-  const int64_t Step = stepOf(Budget, Now);
+  const int64_t Step = stepAt(Budget, Now);
   const int64_t Passed = std::min<int64_t>(Step - Counts.Step, BudgetSteps);
   for (int64_t n = 0; n < Passed; ++n) {
-    const auto At = static_cast<size_t>((Step - n) % int64_t{BudgetSteps});
-    Counts.First.at(At) = 0;
-    Counts.Repeats.at(At) = 0;
+    const auto Index = static_cast<size_t>((Step - n) % int64_t{BudgetSteps});
+    Counts.First.at(Index) = 0;
+    Counts.Repeats.at(Index) = 0;
   }
   Counts.Step = std::max(Counts.Step, Step);
   return Counts;
 }
 
+/** Gives the sum over the window. */
 uint32_t sum(const std::array<uint32_t, BudgetSteps> &Steps) {
   return std::accumulate(Steps.begin(), Steps.end(), 0U);
 }
 
-size_t newest(const RepeatCounts &Counts) {
+/** Gives the index of the newest step. */
+size_t newestIndex(const RepeatCounts &Counts) {
   return static_cast<size_t>(Counts.Step % int64_t{BudgetSteps});
 }
 
@@ -48,8 +53,8 @@
 
 void countFirst(RepeatBudget &Budget, const ServiceName &Service,
                 TimePoint Now) {
-  RepeatCounts &Counts = countsAt(Budget, Service, Now);
-  ++Counts.First.at(newest(Counts));
+  RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
+  ++Counts.First.at(newestIndex(Counts));
 }
 
 bool mayRepeat(RepeatBudget &Budget, const ServiceName &Service,
@@ -58,18 +63,18 @@
     ++Budget.Denied;
     return false;
   }
-  RepeatCounts &Counts = countsAt(Budget, Service, Now);
-  ++Counts.Repeats.at(newest(Counts));
+  RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
+  ++Counts.Repeats.at(newestIndex(Counts));
   return true;
 }
 
 bool repeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
                  uint32_t Entries, TimePoint Now) {
-  const RepeatCounts &Counts = countsAt(Budget, Service, Now);
+  const RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
   const double Shared = static_cast<double>(Budget.Limits.Slack) /
                         static_cast<double>(std::max(1U, Entries));
   const double Allowed =
-      UsedPart * (Budget.Limits.Ratio * sum(Counts.First) + Shared);
+      UsedShare * (Budget.Limits.Ratio * sum(Counts.First) + Shared);
   return sum(Counts.Repeats) + 1 <= Allowed;
 }
 
--- a/packages/core/src/forwarding/repeat_budget_func.h
+++ b/packages/core/src/forwarding/repeat_budget_func.h
@@ -1,8 +1,10 @@
-/** @file repeat_budget_func.h Requests sent to a second back end, bounded.
+/** @file repeat_budget_func.h Retry budget for requests that an entry
+ * sends to back ends itself.
  *
- * When a service fails, every entry would send its requests again and double
- * the load of what is left. All entries share one bound in a sliding window;
- * since none sees the others' repeats in time, each keeps to its part.
+ * When back ends of a service fail, retries of all entries would double the
+ * load of the remaining ones. All entries share one limit of retries in a
+ * sliding window. As no entry sees the retries of the others in time, each one
+ * keeps to its share.
  */
 
 #ifndef JACINTHPOND_CORE_REPEAT_BUDGET_FUNC_H
@@ -13,32 +15,32 @@
 namespace jacinthpond {
 
 /**
- * Counts a request for a service.
+ * Counts the first attempt of a request for a service.
  * @param Budget State to change.
- * @param Service Which service.
+ * @param Service The service.
  * @param Now Current time.
  */
 void countFirst(RepeatBudget &Budget, const ServiceName &Service,
                 TimePoint Now);
 
 /**
- * Asks to send a request once more; counts it when it may.
+ * Takes one retry from the budget, if it has any left.
  * @param Budget State to change.
- * @param Service Which service.
- * @param Entries Entries that share the bound; at least 1.
+ * @param Service The service.
+ * @param Entries Number of entries that share the limit; at least 1.
  * @param Now Current time.
- * @return Whether it may be sent.
+ * @return Whether the retry may be sent.
  */
 bool mayRepeat(RepeatBudget &Budget, const ServiceName &Service,
                uint32_t Entries, TimePoint Now);
 
 /**
- * Says whether a repeat would be allowed, without counting one.
- * @param Budget State whose window is moved on.
- * @param Service Which service.
- * @param Entries Entries that share the bound; at least 1.
+ * Says whether the budget has a retry left, without taking it.
+ * @param Budget State whose window is advanced.
+ * @param Service The service.
+ * @param Entries Number of entries that share the limit; at least 1.
  * @param Now Current time.
- * @return Whether mayRepeat() would agree.
+ * @return Whether mayRepeat() would return true.
  */
 bool repeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
                  uint32_t Entries, TimePoint Now);
--- a/packages/core/src/forwarding/repeat_budget_type.h
+++ b/packages/core/src/forwarding/repeat_budget_type.h
@@ -1,4 +1,5 @@
-/** @file repeat_budget_type.h Requests sent to a second back end, bounded. */
+/** @file repeat_budget_type.h Retry budget for requests that an entry
+ * sends to back ends itself. */
 
 #ifndef JACINTHPOND_CORE_REPEAT_BUDGET_TYPE_H
 #define JACINTHPOND_CORE_REPEAT_BUDGET_TYPE_H
@@ -12,28 +13,29 @@
 
 namespace jacinthpond {
 
-/** Steps into which the window is cut. */
+/** Number of steps that make up the sliding window. */
 constexpr size_t BudgetSteps = 10;
 
-/** What the whole fleet may send again; from the settings. */
+/** Limits of the retries of the whole fleet; from the settings. */
 struct RepeatLimits {
-  double Ratio = 0.2;   ///< Repeats for each first request.
-  uint32_t Slack = 100; ///< Repeats in a window beyond the ratio.
+  double Ratio = 0.2;   ///< Retries for each first attempt.
+  uint32_t Slack = 100; ///< Retries in a window beyond the ratio.
   Millis Window{10000}; ///< Length of the window.
 };
 
-/** Counts of one service in one window. */
+/** Attempts of one service in the sliding window. */
 struct RepeatCounts {
-  std::array<uint32_t, BudgetSteps> First{};   ///< First requests, by step.
-  std::array<uint32_t, BudgetSteps> Repeats{}; ///< Repeats, by step.
-  int64_t Step = 0; ///< Number of the newest step since the clock's start.
+  std::array<uint32_t, BudgetSteps> First{};   ///< First attempts, by step.
+  std::array<uint32_t, BudgetSteps> Repeats{}; ///< Retries, by step.
+  int64_t Step = 0; ///< Newest step, counted from the clock's epoch.
 };
 
-/** Repeats of one entry, by service. */
+/** Retry budget of one entry. */
 struct RepeatBudget {
-  RepeatLimits Limits;                        ///< Bounds of the fleet.
-  std::map<ServiceName, RepeatCounts> Counts; ///< What this entry did.
-  uint64_t Denied = 0;                        ///< Repeats not made.
+  RepeatLimits Limits; ///< Limits of the fleet.
+  std::map<ServiceName, RepeatCounts>
+      Counts;          ///< Attempts of this entry, by service.
+  uint64_t Denied = 0; ///< Retries that the budget denied.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/route_match.cpp
+++ b/packages/core/src/forwarding/route_match.cpp
@@ -1,4 +1,4 @@
-/** @file route_match.cpp Which route a request belongs to. */
+/** @file route_match.cpp Matching requests to routes and workspaces. */
 
 #include "forwarding/route_match_func.h"
 
@@ -12,7 +12,8 @@
 
 constexpr std::string_view BearerScheme = "bearer ";
 
-std::string lowerCase(std::string_view Text) {
+/** Converts ASCII letters to lower case. */
+std::string toLowerCase(std::string_view Text) {
   std::string Lower(Text);
   std::ranges::transform(Lower, Lower.begin(), [](unsigned char c) {
     return static_cast<char>(std::tolower(c));
@@ -20,10 +21,12 @@
   return Lower;
 }
 
+/** Gives the host name of a Host header without its port. */
 std::string_view withoutPort(std::string_view Host) {
   return Host.substr(0, Host.find(':'));
 }
 
+/** Gives a text without spaces and tabs at its ends. */
 std::string_view trimmed(std::string_view Text) {
   constexpr std::string_view Blank = " \t";
   const size_t First = Text.find_first_not_of(Blank);
@@ -37,7 +40,7 @@
 RouteIndex makeRouteIndex(const Document &Doc) {
   RouteIndex Index;
   for (const Route &One : Doc.Routes)
-    Index.ByHost[lowerCase(withoutPort(One.Host))].push_back(&One);
+    Index.ByHost[toLowerCase(withoutPort(One.Host))].push_back(&One);
   for (auto &[Host, Routes] : Index.ByHost)
     std::ranges::stable_sort(Routes, std::greater<>{}, [](const Route *One) {
       return One->Prefix.size();
@@ -51,7 +54,7 @@
 
 const Route *matchRoute(const RouteIndex &Index, std::string_view Host,
                         std::string_view Target) {
-  const auto it = Index.ByHost.find(lowerCase(withoutPort(trimmed(Host))));
+  const auto it = Index.ByHost.find(toLowerCase(withoutPort(trimmed(Host))));
   if (it == Index.ByHost.end())
     return nullptr;
   const std::string_view Path = Target.substr(0, Target.find('?'));
@@ -64,7 +67,7 @@
 const Tenant *matchTenant(const RouteIndex &Index,
                           std::string_view Authorization) {
   const std::string_view Value = trimmed(Authorization);
-  const std::string Scheme = lowerCase(Value.substr(0, BearerScheme.size()));
+  const std::string Scheme = toLowerCase(Value.substr(0, BearerScheme.size()));
   if (Scheme != BearerScheme)
     return nullptr;
   const auto it =
--- a/packages/core/src/forwarding/route_match_func.h
+++ b/packages/core/src/forwarding/route_match_func.h
@@ -1,4 +1,4 @@
-/** @file route_match_func.h Which route a request belongs to. */
+/** @file route_match_func.h Matching requests to routes and workspaces. */
 
 #ifndef JACINTHPOND_CORE_ROUTE_MATCH_FUNC_H
 #define JACINTHPOND_CORE_ROUTE_MATCH_FUNC_H
@@ -10,28 +10,28 @@
 namespace jacinthpond {
 
 /**
- * Prepares a document for look-ups.
+ * Builds the index of a document's routes and keys.
  * @param Doc The document; must outlive the index.
  * @return The index.
  */
 RouteIndex makeRouteIndex(const Document &Doc);
 
 /**
- * Finds the route of a request: of those of its host, the one with the longest
- * prefix that begins the path.
+ * Finds the route of a request: among the routes of its host, the one with the
+ * longest prefix of the path.
  * @param Index The index.
- * @param Host Host header, with or without a port, in any case.
- * @param Target Request target; its query does not count.
+ * @param Host Host header, with or without a port; case is ignored.
+ * @param Target Request target; its query is ignored.
  * @return The route, or null.
  */
 const Route *matchRoute(const RouteIndex &Index, std::string_view Host,
                         std::string_view Target);
 
 /**
- * Finds whose request it is.
+ * Finds the workspace that a request belongs to by its API key.
  * @param Index The index.
  * @param Authorization Header value, "Bearer KEY".
- * @return The tenant that holds the key, or null.
+ * @return The workspace that has the key, or null.
  */
 const Tenant *matchTenant(const RouteIndex &Index,
                           std::string_view Authorization);
--- a/packages/core/src/forwarding/route_match_type.h
+++ b/packages/core/src/forwarding/route_match_type.h
@@ -1,4 +1,4 @@
-/** @file route_match_type.h Which route a request belongs to. */
+/** @file route_match_type.h Matching requests to routes and workspaces. */
 
 #ifndef JACINTHPOND_CORE_ROUTE_MATCH_TYPE_H
 #define JACINTHPOND_CORE_ROUTE_MATCH_TYPE_H
@@ -12,12 +12,12 @@
 
 namespace jacinthpond {
 
-/** Look-ups into one document; valid as long as the document lives. */
+/** Index of the routes and keys of one document, which must outlive it. */
 struct RouteIndex {
-  /** Routes of each host, longest prefix first. */
+  /** Routes by host in lower case, longest prefix first. */
   std::unordered_map<std::string, std::vector<const Route *>> ByHost;
-  std::unordered_map<std::string, const Tenant *> ByKey; ///< Owner of a key.
-  bool KeysWanted = false; ///< The document names tenants.
+  std::unordered_map<std::string, const Tenant *> ByKey; ///< By API key.
+  bool KeysWanted = false; ///< Requests need a key: there are workspaces.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/server_listing.cpp
+++ b/packages/core/src/forwarding/server_listing.cpp
@@ -1,4 +1,5 @@
-/** @file server_listing.cpp What documents say of back ends and weights. */
+/** @file server_listing.cpp Updates the server pool from documents: listed
+ * servers and wanted weights. */
 
 #include "forwarding/server_pool_func.h"
 
@@ -9,10 +10,12 @@
 
 namespace {
 
-/** Former sets that are remembered. */
-constexpr size_t MaxFormers = 8;
+/** Former sets that are kept for each model. */
+constexpr size_t MaxFormerSets = 8;
 
-void noteServers(ServerPool &Pool, TimePoint Now) {
+/** Updates the back ends from the list of the document, and removes unlisted
+ * ones. */
+void updateServers(ServerPool &Pool, TimePoint Now) {
   std::set<InstanceId> Listed;
   for (const BackEndServer &One : Pool.Doc->Servers) {
     Listed.insert(One.Id);
@@ -20,10 +23,10 @@
     ServerView &View = it->second;
     if (New || View.Listed.ColdFor != One.ColdFor) {
       View.ColdUntil = Now + One.ColdFor;
-      View.Cold = {};
+      View.ColdLimit = {};
     }
-    // An agent's word is newer than the list while its back end is the same,
-    // and it does not count what was loaded from other chunks.
+    // An agent's report is newer than the list as long as the instance is the
+    // same, and it does not count weights that were loaded from other chunks.
     if (New || (View.Listed.Weights != One.Weights && !hasAgent(View)))
       View.Weights = One.Weights;
     View.Listed = One;
@@ -34,21 +37,25 @@
       View.Vanished = Now;
   std::erase_if(Pool.Servers, [&](const auto &Row) {
     const ServerView &View = Row.second;
-    return View.Vanished && View.Open == 0 && Now >= Pool.ListingDoubtUntil;
+    return View.Vanished && View.Open == 0 && Now >= Pool.KeepUnlistedUntil;
   });
 }
 
-void noteWanted(ServerPool &Pool, std::optional<TimePoint> PublishedAfter) {
+/** Updates the wanted weights of each model, and keeps the replaced ones until
+ * they expire. */
+void updateWantedWeights(ServerPool &Pool,
+                         std::optional<TimePoint> PublishedAfter) {
   for (const ModelVersion &Model : Pool.Doc->Models) {
     WantedWeights &Wanted = Pool.Wanted[Model.Name];
     if (Wanted.Set == Model.Set)
       continue;
-    // Each set has its own time from when the next one was named: a version
-    // that is overtaken while it spreads must not take the one before with it.
-    // A process that starts does not know how long a version was wanted: it
-    // begins nothing on an older one. One that stood still counts from before
-    // that; from when it heard, its requests would begin on the older one for
-    // as much longer as it stood still.
+    // Each set expires a fixed time after the next one was published: a version
+    // that is replaced while it still spreads must not invalidate the version
+    // before it. A process that starts does not know when the wanted version
+    // was published, so it starts nothing on an older one. A process that was
+    // paused counts from before the pause: counted from when it received the
+    // document, its requests would start on the older set too late, by the
+    // length of the pause.
     if (PublishedAfter && !Wanted.Set.Value.empty())
       Wanted.Formers.push_back(
           {Wanted.Set, Wanted.Version,
@@ -56,7 +63,7 @@
     std::erase_if(Wanted.Formers, [&](const FormerWeights &One) {
       return One.Set == Model.Set;
     });
-    if (Wanted.Formers.size() > MaxFormers)
+    if (Wanted.Formers.size() > MaxFormerSets)
       Wanted.Formers.erase(Wanted.Formers.begin());
     Wanted.Set = Model.Set;
     Wanted.Version = Model.Version;
@@ -69,15 +76,15 @@
 void poolFollows(ServerPool &Pool, const DocumentPtr &Doc,
                  std::optional<TimePoint> PublishedAfter, TimePoint Now) {
   Pool.Doc = Doc;
-  noteServers(Pool, Now);
-  noteWanted(Pool, PublishedAfter);
+  updateServers(Pool, Now);
+  updateWantedWeights(Pool, PublishedAfter);
 }
 
 void listingAway(ServerPool &Pool, bool Away, TimePoint Now) {
   if (Away)
-    Pool.ListingDoubtUntil = TimePoint::max();
-  else if (Pool.ListingDoubtUntil == TimePoint::max())
-    Pool.ListingDoubtUntil = Now + Pool.Options.LapseGrace;
+    Pool.KeepUnlistedUntil = TimePoint::max();
+  else if (Pool.KeepUnlistedUntil == TimePoint::max())
+    Pool.KeepUnlistedUntil = Now + Pool.Options.LapseGrace;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/server_pool.cpp
+++ b/packages/core/src/forwarding/server_pool.cpp
@@ -29,57 +29,61 @@
 
 namespace {
 
-/** First time for which a back end that failed is left alone. */
-constexpr Millis FirstAvoid{300};
-/** It doubles with each failure in a row up to this many times. */
+/** Time for which a back end gets no requests after its first failure. */
+constexpr Millis FirstAvoidTime{300};
+/** Doublings of that time for consecutive failures. */
 constexpr uint32_t MaxAvoidDoublings = 4;
-/** Share of an answer in the running share of errors. */
+/** Weight of one answer in the moving average of the error share. */
 constexpr double ErrorWeight = 0.15;
-/** Share of errors that is taken for the usual failures of the work itself. */
-constexpr double UsualErrors = 0.25;
-/** Requests by which a back end that fails everything counts as busier. */
+/** Error share that is attributed to the requests, not to the back end. */
+constexpr double ToleratedErrorShare = 0.25;
+/** Score penalty for errors, in requests for each unit of the error share
+ * above the tolerated one. */
 constexpr double ErrorPenalty = 40;
-/** The same while its agent does not answer asks in time. */
-constexpr double SlowPenalty = 40;
+/** Score penalty, in requests, while the agent replies late or the host does
+ * not answer a probe. */
+constexpr double LateReplyPenalty = 40;
 /**
- * Part of its slots by which a back end of another domain counts as busier. The
- * way there costs bytes between regions and a round trip for each agent that is
- * asked; busier ones write more slowly, so that work does go there before near
- * ones are full.
+ * Score penalty of a back end in another domain, as a share of its slots.
+ * Sending there costs traffic between regions and a round trip for each slot
+ * request. Busier back ends generate more slowly, so requests go to another
+ * domain before the near ones are full.
  */
-constexpr double FarPart = 0.35;
-/** Reading that counts as much as one request under way. */
-constexpr Millis ReadingAsRequest{25};
-/** Time after which a back end's word on its load counts half. */
+constexpr double OtherDomainPenalty = 0.35;
+/** Prefill time that counts as much as one open request. */
+constexpr Millis PrefillPerRequest{25};
+/** Half-life of a reported load. */
 constexpr Millis LoadHalfLife{1500};
-/** Answers whose length is averaged. */
-constexpr int TimeWeight = 15;
-/** Length of an answer before any was seen. */
-constexpr Millis FirstUsualTime{500};
-/** Part of a route's target that may be spent waiting at the back end. */
-constexpr double WaitPart = 0.35;
-/** Shortest and longest time that a refused caller is told to stay away. */
-constexpr Millis ShortestComeBack{150};
-constexpr Millis LongestComeBack{2500};
-/** Time for which a request that was sent in time may wait to begin on weights
- * that were replaced; the way to the back end takes less than what is left of
- * the margin after it. */
-constexpr Millis BeginWait{800};
-/** How long a back end is left alone that was misjudged; news come sooner. */
-constexpr Millis MisjudgedAvoid{500};
+/** Weight of the previous mean answer time; a new answer has weight 1. */
+constexpr int MeanTimeWeight = 15;
+/** Assumed answer time before any answer was seen. */
+constexpr Millis InitialAnswerTime{500};
+/** Share of a route's target that may be spent queued at the back end. */
+constexpr double QueueTimeShare = 0.35;
+/** Bounds of the retry delay that a refused caller is given. */
+constexpr Millis MinRetryDelay{150};
+constexpr Millis MaxRetryDelay{2500};
+/** Time after the deadline of former weights in which a request that was sent
+ * before it may still start. Transit to the back end takes less than the rest
+ * of the margin. */
+constexpr Millis MaxStartDelay{800};
+/** Time for which a back end with unexpected weights, or with another instance
+ * at its address, is avoided; a newer report arrives before it ends. */
+constexpr Millis MisjudgedAvoidTime{500};
 
 /** Idle connections to one back end that an entry keeps at most. */
-constexpr size_t MostKept = 24;
-/** One in so many of the connections that a back end bears may stand idle; the
- * others are left for requests under way. */
-constexpr uint32_t KeptPart = 2;
+constexpr size_t MaxIdleConnections = 24;
+/** Half of the connections that a back end accepts may be idle; the others are
+ * reserved for open requests. */
+constexpr uint32_t IdleConnectionDivisor = 2;
 
-double randomPart(ServerPool &Pool) {
+/** Gives a random number from 0 to 1, without 1. */
+double randomFraction(ServerPool &Pool) {
   return static_cast<double>(nextRandom(Pool.Random) >> 11U) /
          static_cast<double>(uint64_t{1} << 53U);
 }
 
-/** Gives a service of the document in force; null when there is none. */
+/** Finds a service in the document in force; null when there is none. */
 const Service *findService(const ServerPool &Pool, const ServiceName &Name) {
   if (Pool.Doc == nullptr)
     return nullptr;
@@ -87,23 +91,24 @@
   return it == Pool.Doc->Services.end() ? nullptr : &*it;
 }
 
-/** Takes what a back end told of all its work. */
-void noteWork(ServerView &View, uint32_t Busy, TimePoint Now) {
+/** Records the total number of requests that a back end reported. */
+void recordReportedRequests(ServerView &View, uint32_t Busy, TimePoint Now) {
   View.OtherWork = Busy > View.Open ? Busy - View.Open : 0;
   View.ToldAt = Now;
 }
 
-/** Takes a time into the running mean of a service. */
-void learnTime(std::map<ServiceName, Duration> &Usual, const ServiceName &Name,
-               Duration Took) {
-  Duration &Mean = Usual.try_emplace(Name, Took).first->second;
-  Mean = (Mean * TimeWeight + Took) / (TimeWeight + 1);
+/** Updates the moving average of a service's answer time. */
+void updateAnswerTime(std::map<ServiceName, Duration> &Means,
+                      const ServiceName &Name, Duration Took) {
+  Duration &Mean = Means.try_emplace(Name, Took).first->second;
+  Mean = (Mean * MeanTimeWeight + Took) / (MeanTimeWeight + 1);
 }
 
-/** Requests at a back end, those of other entries as far as known. */
-double workAt(const ServerView &View, TimePoint Now) {
-  // An agent tells again in time; of others nothing is heard while nothing is
-  // sent to them, and what they told once would keep them from ever being used.
+/** Estimates the requests at a back end, those of other entries included. */
+double estimatedRequests(const ServerView &View, TimePoint Now) {
+  // Agents report regularly. A back end without one reports its load only with
+  // answers, so an old report must lose its weight, or a back end that was busy
+  // once would never be used again.
   if (hasAgent(View))
     return View.Open + View.OtherWork;
   const double Age = static_cast<double>(toMillis(Now - View.ToldAt).count()) /
@@ -111,126 +116,140 @@
   return View.Open + View.OtherWork * std::exp2(-std::max(0.0, Age));
 }
 
-Duration usualTime(const ServerPool &Pool, const ServiceName &Name) {
-  const auto it = Pool.UsualTime.find(Name);
-  return it == Pool.UsualTime.end() ? Duration(FirstUsualTime) : it->second;
+/** Gives the mean time of an answer of a service. */
+Duration usualAnswerTime(const ServerPool &Pool, const ServiceName &Name) {
+  const auto it = Pool.UsualAnswerTime.find(Name);
+  return it == Pool.UsualAnswerTime.end() ? Duration(InitialAnswerTime)
+                                          : it->second;
 }
 
-/** Requests that a back end may have so that the last one begins in time. */
-double roomOf(const ServerPool &Pool, const ServerView &View,
-              const Route &From) {
+/** Gives how many requests a back end may have if the last one is to start in
+ * time for the route's target. */
+double requestCapacity(const ServerPool &Pool, const ServerView &View,
+                       const Route &Matched) {
   const auto Slots = static_cast<double>(std::max(1U, View.Listed.Slots));
   const double Usual = std::chrono::duration<double, std::milli>(
-                           usualTime(Pool, View.Listed.Service))
+                           usualAnswerTime(Pool, View.Listed.Service))
                            .count();
-  const double Wait = WaitPart * static_cast<double>(From.Target.count());
+  const double Wait =
+      QueueTimeShare * static_cast<double>(Matched.Target.count());
   const double Waiting = Usual > 0 ? Wait * Slots / Usual : 0;
   return Slots + std::min(Waiting, Slots * 2);
 }
 
-bool regionAllowed(const std::set<RegionName> &Regions, const Document &Doc,
-                   const DomainName &Domain) {
+/** Says whether a domain lies in one of some regions; an empty set allows all.
+ */
+bool isRegionAllowed(const std::set<RegionName> &Regions, const Document &Doc,
+                     const DomainName &Domain) {
   if (Regions.empty())
     return true;
   const auto it = Doc.RegionOf.find(Domain);
   return it != Doc.RegionOf.end() && Regions.contains(it->second);
 }
 
-/** Says whether a back end had an agent that says nothing any more. */
-bool lostAgent(const ServerView &View) { return View.Agent && !hasAgent(View); }
+/** Says whether a back end had an agent that does not respond any more. */
+bool hasLostAgent(const ServerView &View) {
+  return View.Agent && !hasAgent(View);
+}
 
 /**
- * Says whether nothing shows that a back end lives: its agent fell silent, and
- * neither has said anything since. Its host may stand still, and what is sent
- * there would begin whenever it wakes, long after its callers have left. One
- * request is enough to find out.
+ * Says whether there is no sign of life from a back end: its agent stopped
+ * responding, and the back end sent nothing since. Its host may be paused:
+ * requests sent there would start after it resumes, long after their callers
+ * have left. A single open request suffices to find out.
  */
-bool mayStandStill(const ServerView &View) {
-  return lostAgent(View) && View.LastHeard <= View.SilentSince;
+bool mayBePaused(const ServerView &View) {
+  return hasLostAgent(View) && View.LastByteAt <= View.SilentSince;
 }
 
-/** Finds a set among those that were wanted before; null: it is none. */
-const FormerWeights *findFormer(const WantedWeights &Wanted,
-                                const Digest &Set) {
+/** Finds a set among the replaced ones; null when it is none of them. */
+const FormerWeights *findFormerWeights(const WantedWeights &Wanted,
+                                       const Digest &Set) {
   const auto it = std::ranges::find(Wanted.Formers, Set, &FormerWeights::Set);
   return it == Wanted.Formers.end() ? nullptr : &*it;
 }
 
-/** Says whether the weights of a back end may begin, or go on with, a request.
+/** Says whether a request may start, or resume, on the weights of a back end.
  */
-bool weightsFit(const ServerPool &Pool, const Service &Kind,
-                const ServerView &View, const Digest &Needed, TimePoint Now) {
-  if (Kind.Model.Value.empty())
+bool mayStartOnWeights(const ServerPool &Pool, const Service &Spec,
+                       const ServerView &View, const Digest &Needed,
+                       TimePoint Now) {
+  if (Spec.Model.Value.empty())
     return true;
   if (View.Weights.Value.empty())
     return false;
   if (!Needed.Value.empty() && View.Weights != Needed)
     return false;
-  const auto it = Pool.Wanted.find(Kind.Model);
+  const auto it = Pool.Wanted.find(Spec.Model);
   if (it == Pool.Wanted.end() || View.Weights == it->second.Set)
     return true;
-  // With a silent agent the host may stand still: a request that is sent in
-  // time would begin on former weights whenever it wakes.
-  if (lostAgent(View))
+  // With a silent agent the host may be paused: a request that is sent in time
+  // would start on former weights whenever the host resumes.
+  if (hasLostAgent(View))
     return false;
-  const FormerWeights *Former = findFormer(it->second, View.Weights);
+  const FormerWeights *Former = findFormerWeights(it->second, View.Weights);
   return Former != nullptr && Now < Former->Until;
 }
 
-/** Says whether a back end may get this request at all. */
-bool usable(const ServerPool &Pool, const ServerView &View,
-            const ServerNeeds &Needs, const Service &Kind, TimePoint Now) {
+/** Says whether a back end may get a request, regardless of its load. */
+bool isUsable(const ServerPool &Pool, const ServerView &View,
+              const ServerNeeds &Needs, const Service &Spec, TimePoint Now) {
   const Document &Doc = *Pool.Doc;
   if (View.Listed.Service != Needs.Service || View.Listed.Draining ||
       Needs.Tried.contains(View.Listed.Id) ||
       Needs.Full.contains(View.Listed.Id) ||
       Doc.DomainsOut.contains(View.Listed.Domain))
     return false;
-  if (View.Vanished && Now >= Pool.ListingDoubtUntil)
+  if (View.Vanished && Now >= Pool.KeepUnlistedUntil)
     return false;
-  if (!regionAllowed(Needs.From->Regions, Doc, View.Listed.Domain) ||
+  if (!isRegionAllowed(Needs.From->Regions, Doc, View.Listed.Domain) ||
       (Needs.Owner != nullptr &&
-       !regionAllowed(Needs.Owner->Regions, Doc, View.Listed.Domain)))
+       !isRegionAllowed(Needs.Owner->Regions, Doc, View.Listed.Domain)))
     return false;
   const bool Loading =
       hasAgent(View) && (View.Agent->State == WorkerState::Loading ||
                          View.Agent->State == WorkerState::Empty);
-  if (Loading && !Kind.Model.Value.empty())
+  if (Loading && !Spec.Model.Value.empty())
     return false;
-  return weightsFit(Pool, Kind, View, Needs.Weights, Now);
+  return mayStartOnWeights(Pool, Spec, View, Needs.Weights, Now);
 }
 
-double scoreOf(ServerPool &Pool, const ServerView &View, TimePoint Now) {
-  double Score = workAt(View, Now) + randomPart(Pool);
-  const Duration Reading =
-      std::max(View.Reading - (Now - View.ToldAt), Duration{0});
-  Score += static_cast<double>(toMillis(Reading).count()) /
-           static_cast<double>(ReadingAsRequest.count());
+/**
+ * Gives the score of a back end, in requests; the lowest one is chosen. It sums
+ * up the load, penalties and a random part below 1 that breaks ties.
+ */
+double loadScore(ServerPool &Pool, const ServerView &View, TimePoint Now) {
+  double Score = estimatedRequests(View, Now) + randomFraction(Pool);
+  const Duration Backlog =
+      std::max(View.PrefillBacklog - (Now - View.ToldAt), Duration{0});
+  Score += static_cast<double>(toMillis(Backlog).count()) /
+           static_cast<double>(PrefillPerRequest.count());
   if (View.Listed.Domain != Pool.Options.Domain)
-    Score += FarPart * static_cast<double>(View.Listed.Slots);
-  Score += ErrorPenalty * std::max(0.0, View.ErrorShare - UsualErrors);
-  const bool Doubtful = View.Unanswered && !hasAgent(View);
-  if (Now < View.SlowUntil || Doubtful)
-    Score += SlowPenalty;
+    Score += OtherDomainPenalty * static_cast<double>(View.Listed.Slots);
+  Score += ErrorPenalty * std::max(0.0, View.ErrorShare - ToleratedErrorShare);
+  const bool ProbeUnanswered = View.ProbePendingSince && !hasAgent(View);
+  if (Now < View.RankLastUntil || ProbeUnanswered)
+    Score += LateReplyPenalty;
   return Score;
 }
 
-/** Time until one of so many back ends has room again, spread a little. */
-Millis timeToRoom(ServerPool &Pool, const ServerNeeds &Needs,
+/** Gives how long a refused caller waits until one of the candidates has room
+ * again; randomized. */
+Millis retryDelay(ServerPool &Pool, const ServerNeeds &Needs,
                   uint32_t Candidates) {
-  // Servers that are gone, or load weights, are back after seconds.
+  // Servers that are gone, or load weights, take seconds to return.
   if (Candidates == 0)
-    return LongestComeBack / 2 +
+    return MaxRetryDelay / 2 +
            Millis(static_cast<int64_t>(
-               randomPart(Pool) * static_cast<double>(LongestComeBack.count()) /
-               2));
-  // Each answer that ends makes room for one; callers that were refused
-  // together come back apart.
-  const Duration Usual = usualTime(Pool, Needs.Service);
+               randomFraction(Pool) *
+               static_cast<double>(MaxRetryDelay.count()) / 2));
+  // Each answer that ends frees room for one request. The delay is randomized
+  // so that callers that were refused together do not return together.
+  const Duration Usual = usualAnswerTime(Pool, Needs.Service);
   const Millis Mean = toMillis(Usual / std::max(1U, std::min(Candidates, 4U)));
   const auto Spread = static_cast<int64_t>(static_cast<double>(Mean.count()) *
-                                           (0.75 + randomPart(Pool)));
-  return std::clamp(Millis(Spread), ShortestComeBack, LongestComeBack);
+                                           (0.75 + randomFraction(Pool)));
+  return std::clamp(Millis(Spread), MinRetryDelay, MaxRetryDelay);
 }
 
 } // namespace
@@ -241,51 +260,57 @@
       continue;
     if (!News.Fresh && hasAgent(View))
       View.SilentSince = Now;
-    // An agent that started anew knows of no limit, which lifts none.
+    // An agent that restarted reports no limit because it has not learned of
+    // it yet, so a report on a new link lifts none.
     const bool Lifted = !News.PerSecond && View.Agent &&
                         View.Agent->PerSecond && View.Agent->Link == News.Link;
     View.Agent = News;
     if (!News.Fresh) {
-      agentLinkEnded(View, News.Silent, Now);
+      recordAgentLinkEnd(View, News.Silent, Now);
       continue;
     }
-    View.Unanswered.reset();
-    noteWork(View, News.Busy, Now);
+    View.ProbePendingSince.reset();
+    recordReportedRequests(View, News.Busy, Now);
     View.Weights = News.Weights;
     if (News.PerSecond)
       rateNamed(View.Rate, *News.PerSecond, Now);
     if (Lifted) {
       rateNotNamed(View.Rate, Now);
-      View.NoPlaceUntil = Now;
+      View.NoSlotUntil = Now;
     }
   }
 }
 
-/** Compares the back ends whose hosts stand still, or those of all others. */
-static ServerChoice bestOf(ServerPool &Pool, const ServerNeeds &Needs,
-                           const Service &Kind, bool Still, TimePoint Now) {
+/**
+ * Chooses the back end with the lowest score, either among those whose hosts
+ * are unresponsive or among all others.
+ */
+static ServerChoice chooseLowestScore(ServerPool &Pool,
+                                      const ServerNeeds &Needs,
+                                      const Service &Spec, bool Unresponsive,
+                                      TimePoint Now) {
   ServerChoice Choice;
   double Best = 0;
   for (auto &[Id, View] : Pool.Servers) {
-    if (standsStill(View, Now) != Still ||
-        !usable(Pool, View, Needs, Kind, Now) || Now < View.AvoidUntil)
+    if (standsStill(View, Now) != Unresponsive ||
+        !isUsable(Pool, View, Needs, Spec, Now) || Now < View.AvoidUntil)
       continue;
     ++Choice.Candidates;
-    // An agent knows better than this entry whether there is room.
+    // Where there is an agent, it decides whether there is room.
     const bool Full =
-        (!hasAgent(View) &&
-         workAt(View, Now) + 1 > roomOf(Pool, View, *Needs.From)) ||
-        (mayStandStill(View) && View.Open > 0);
+        (!hasAgent(View) && estimatedRequests(View, Now) + 1 >
+                                requestCapacity(Pool, View, *Needs.From)) ||
+        (mayBePaused(View) && View.Open > 0);
     if (Full)
       continue;
-    if (!ratesAllow(Pool, View, Kind, Now)) {
+    if (!isWithinRates(Pool, View, Spec, Now)) {
       ++Choice.Limited;
-      Choice.PerSecond += View.Rate.PerSecond.value_or(Kind.ColdPerSecond);
+      Choice.PerSecond += View.Rate.PerSecond.value_or(Spec.ColdPerSecond);
       Choice.LimitedUntil = std::min(Choice.LimitedUntil,
-                                     hasAgent(View) ? View.NoPlaceUntil : Now);
+                                     hasAgent(View) ? View.NoSlotUntil : Now);
       continue;
     }
-    const double Score = scoreOf(Pool, View, Now);
+    const double Score = loadScore(Pool, View, Now);
     if (Choice.Server != nullptr && Score >= Best)
       continue;
     Choice.Server = &View;
@@ -296,26 +321,26 @@
 
 ServerChoice chooseServer(ServerPool &Pool, const ServerNeeds &Needs,
                           TimePoint Now) {
-  const Service *Kind = findService(Pool, Needs.Service);
-  if (Kind == nullptr)
+  const Service *Spec = findService(Pool, Needs.Service);
+  if (Spec == nullptr)
     return {};
-  ServerChoice Choice = bestOf(Pool, Needs, *Kind, false, Now);
-  // Where all of them seem to stand still, this entry may be the one that
-  // hears nothing.
+  ServerChoice Choice = chooseLowestScore(Pool, Needs, *Spec, false, Now);
+  // Where all hosts seem unresponsive, this entry itself may be the one that
+  // is cut off.
   const bool First = Needs.Tried.empty() && Needs.Full.empty();
   if (Choice.Candidates == 0 && First)
-    Choice = bestOf(Pool, Needs, *Kind, true, Now);
+    Choice = chooseLowestScore(Pool, Needs, *Spec, true, Now);
   if (Choice.Server != nullptr)
     return Choice;
   Choice.Why =
       Choice.Candidates > 0 ? PoolRefusal::AllFull : PoolRefusal::NoneListed;
-  Choice.RetryAfter = timeToRoom(Pool, Needs, Choice.Candidates);
+  Choice.RetryAfter = retryDelay(Pool, Needs, Choice.Candidates);
   if (Choice.Limited > 0 && Choice.Limited == Choice.Candidates) {
     const Millis Turn =
-        turnToComeBack(Pool, Needs.Service, Choice.PerSecond, Now);
+        assignRetryTime(Pool, Needs.Service, Choice.PerSecond, Now);
     const Millis Allowed = toMillis(Choice.LimitedUntil - Now);
     Choice.RetryAfter = std::max(
-        Choice.RetryAfter, std::min(std::max(Turn, Allowed), LongestComeBack));
+        Choice.RetryAfter, std::min(std::max(Turn, Allowed), MaxRetryDelay));
   }
   return Choice;
 }
@@ -328,40 +353,41 @@
 void loadTold(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
               TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
-    noteWork(*View, Busy, Now);
+    recordReportedRequests(*View, Busy, Now);
 }
 
 void serverHeard(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
-  View->LastHeard = Now;
-  View->Unanswered.reset();
+  View->LastByteAt = Now;
+  View->ProbePendingSince.reset();
 }
 
 TimePoint lastHeard(const ServerPool &Pool, const InstanceId &Id) {
   const ServerView *View = findServer(Pool, Id);
-  return View == nullptr ? TimePoint{} : View->LastHeard;
+  return View == nullptr ? TimePoint{} : View->LastByteAt;
 }
 
 void firstPartCame(ServerPool &Pool, const ServiceName &Service,
                    Duration Took) {
-  firstPartSeen(Pool.FirstParts[Service], Took, Duration{0});
+  firstPartSeen(Pool.FirstPartTimes[Service], Took, Duration{0});
 }
 
 Duration usualFirstPart(const ServerPool &Pool, const ServiceName &Service,
                         Duration Otherwise) {
-  const auto it = Pool.FirstParts.find(Service);
-  return it == Pool.FirstParts.end() ? Otherwise
-                                     : firstPartAfter(it->second, Duration{0});
+  const auto it = Pool.FirstPartTimes.find(Service);
+  return it == Pool.FirstPartTimes.end()
+             ? Otherwise
+             : firstPartAfter(it->second, Duration{0});
 }
 
 void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Reading) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
-  View->Reading = Reading;
-  View->SlowAsks = 0;
+  View->PrefillBacklog = Reading;
+  View->MissedReplies = 0;
 }
 
 Digest weightsAt(const ServerPool &Pool, const InstanceId &Id) {
@@ -385,7 +411,7 @@
     View.ErrorShare += ErrorWeight * (Failed - View.ErrorShare);
     if (How == AttemptEnd::Error)
       return;
-    learnTime(Pool.UsualTime, View.Listed.Service, Took);
+    updateAnswerTime(Pool.UsualAnswerTime, View.Listed.Service, Took);
     return;
   }
   case AttemptEnd::Unreached:
@@ -393,14 +419,15 @@
     const uint32_t Doublings = std::min(View.Failures, MaxAvoidDoublings);
     ++View.Failures;
     View.ErrorShare += ErrorWeight * (1 - View.ErrorShare);
-    // One broken answer may be the fault of the request or the network; a
-    // back end that cannot be reached is left alone at once.
+    // A single broken answer may be due to the request or the network; a back
+    // end that cannot be reached is avoided at once.
     if (How == AttemptEnd::Unreached || View.Failures > 1)
-      View.AvoidUntil = Now + FirstAvoid * (1U << Doublings);
+      View.AvoidUntil = Now + FirstAvoidTime * (1U << Doublings);
     return;
   }
   case AttemptEnd::Refused:
-    // It is full, whatever was believed: its own word comes with answers.
+    // It is full, whatever its last report said; its next answer reports its
+    // load.
     View.OtherWork = std::max(View.OtherWork, View.Listed.Slots);
     View.ToldAt = Now;
     return;
@@ -416,28 +443,28 @@
     return;
   View->Agent->Fresh = false;
   View->SilentSince = Now;
-  // Behind a link that became narrow heartbeats still get through, and little
-  // work makes the back end look idle: each request would lose the time of an
-  // ask there. One ask may have been lost. Ranked last and not left out: the
-  // narrow link may be our own.
-  const uint32_t Doublings = std::min(View->SlowAsks, MaxAvoidDoublings);
-  if (View->SlowAsks > 0)
-    View->SlowUntil = Now + FirstAvoid * (1U << Doublings) / 2;
-  ++View->SlowAsks;
+  // Over a congested link heartbeats still get through, and the low load makes
+  // the back end look idle: each request would lose time on a slot request
+  // there. A single slot request may just have been lost. The back end is
+  // ranked last rather than excluded: the congested link may be this entry's.
+  const uint32_t Doublings = std::min(View->MissedReplies, MaxAvoidDoublings);
+  if (View->MissedReplies > 0)
+    View->RankLastUntil = Now + FirstAvoidTime * (1U << Doublings) / 2;
+  ++View->MissedReplies;
 }
 
 bool mayStillUse(const ServerPool &Pool, const InstanceId &Id,
                  const ServerNeeds &Needs, TimePoint Now) {
   const ServerView *View = findServer(Pool, Id);
-  const Service *Kind = findService(Pool, Needs.Service);
-  return View != nullptr && Kind != nullptr &&
-         usable(Pool, *View, Needs, *Kind, Now);
+  const Service *Spec = findService(Pool, Needs.Service);
+  return View != nullptr && Spec != nullptr &&
+         isUsable(Pool, *View, Needs, *Spec, Now);
 }
 
 const WantedWeights *wantedAt(const ServerPool &Pool, const ServerView &View) {
-  const Service *Kind = findService(Pool, View.Listed.Service);
+  const Service *Spec = findService(Pool, View.Listed.Service);
   const auto it =
-      Kind == nullptr ? Pool.Wanted.end() : Pool.Wanted.find(Kind->Model);
+      Spec == nullptr ? Pool.Wanted.end() : Pool.Wanted.find(Spec->Model);
   return it == Pool.Wanted.end() ? nullptr : &it->second;
 }
 
@@ -449,11 +476,11 @@
   if (Wanted == nullptr)
     return "";
   const std::vector<FormerWeights> &Formers = Wanted->Formers;
-  const bool SomeOver = std::ranges::any_of(
+  const bool AnyExpired = std::ranges::any_of(
       Formers, [&](const FormerWeights &One) { return Now >= One.Until; });
-  if (!SomeOver && !Formers.empty())
+  if (!AnyExpired && !Formers.empty())
     return "";
-  const FormerWeights *Former = findFormer(*Wanted, View->Weights);
+  const FormerWeights *Former = findFormerWeights(*Wanted, View->Weights);
   return Former == nullptr ? Wanted->Version : Former->Version;
 }
 
@@ -465,27 +492,27 @@
       View == nullptr ? nullptr : wantedAt(Pool, *View);
   if (Wanted == nullptr)
     return std::nullopt;
-  // The agent of a back end that stands still says that it has no weights. On
-  // waking it has those with which the request was sent.
+  // The agent reports no weights while its back end is paused. After it
+  // resumes, the back end has those that it had when the request was sent.
   const Digest &Has = View->Weights.Value.empty() ? SentOn : View->Weights;
-  const FormerWeights *Former = findFormer(*Wanted, Has);
-  if (Former == nullptr) // Wanted, or not known.
+  const FormerWeights *Former = findFormerWeights(*Wanted, Has);
+  if (Former == nullptr) // These are the wanted weights, or unknown ones.
     return std::nullopt;
-  return Former->Until + BeginWait;
+  return Former->Until + MaxStartDelay;
 }
 
 void serverMisjudged(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
-    View->AvoidUntil = Now + MisjudgedAvoid;
+    View->AvoidUntil = Now + MisjudgedAvoidTime;
 }
 
 size_t connectionsToKeep(const ServerPool &Pool, const ServiceName &Service) {
-  const auto *Kind = findService(Pool, Service);
-  if (Kind == nullptr || Kind->MaxConnections == 0)
-    return MostKept;
+  const auto *Spec = findService(Pool, Service);
+  if (Spec == nullptr || Spec->MaxConnections == 0)
+    return MaxIdleConnections;
   const uint32_t Share =
-      Kind->MaxConnections / KeptPart / std::max(1U, Pool.Entries);
-  return std::min<size_t>(MostKept, Share);
+      Spec->MaxConnections / IdleConnectionDivisor / std::max(1U, Pool.Entries);
+  return std::min<size_t>(MaxIdleConnections, Share);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/server_pool_func.h
+++ b/packages/core/src/forwarding/server_pool_func.h
@@ -8,35 +8,36 @@
 namespace jacinthpond {
 
 /**
- * Takes a document that came into force.
+ * Updates servers and wanted weights from a document that came into force.
  * @param Pool State to change.
  * @param Doc The document.
- * @param PublishedAfter Time before which it was not published; nothing: not
- * known, and weights that it replaces begin no request.
+ * @param PublishedAfter Earliest time at which it can have been published;
+ * nothing: unknown, and no request starts on the weights that it replaces.
  * @param Now Current time.
  */
 void poolFollows(ServerPool &Pool, const DocumentPtr &Doc,
                  std::optional<TimePoint> PublishedAfter, TimePoint Now);
 
 /**
- * The platform's list went away or came back. Servers that live on may be
- * missing in it until a while after that, when they have registered again.
+ * Records whether the platform's list of servers is available. During an outage
+ * the registrations of running servers expire, so servers that are missing from
+ * the list are used until some time after the outage.
  * @param Pool State to change.
- * @param Away Whether nobody can read the list now.
+ * @param Away Whether no process can read the list at present.
  * @param Now Current time.
  */
 void listingAway(ServerPool &Pool, bool Away, TimePoint Now);
 
 /**
- * An agent told of its back end.
+ * Applies an agent's report to the state of its back end.
  * @param Pool State to change.
- * @param News What it told.
+ * @param News The report.
  * @param Now Current time.
  */
 void agentTold(ServerPool &Pool, const AgentNews &News, TimePoint Now);
 
 /**
- * Chooses a back end.
+ * Chooses the back end for an attempt: the usable one with the lowest load.
  * @param Pool State to change: ties are broken at random.
  * @param Needs What the request needs.
  * @param Now Current time.
@@ -46,83 +47,89 @@
                           TimePoint Now);
 
 /**
- * Gives a back end.
+ * Finds a back end by its instance.
  * @param Pool The state.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @return The back end; null when it is not known any more.
  */
 ServerView *findServer(ServerPool &Pool, const InstanceId &Id);
 const ServerView *findServer(const ServerPool &Pool, const InstanceId &Id);
 
 /**
- * Says whether an agent bounds the load of a back end.
+ * Says whether an agent limits the load of a back end at present.
  * @param View The back end.
- * @return True while the agent answers.
+ * @return True while it has an agent that responds.
  */
 bool hasAgent(const ServerView &View);
 
 /**
- * An agent did not answer an ask in time: its back end is used without it,
- * until it speaks. Where that happens again, it is asked last for a while.
+ * Records that an agent did not reply to a slot request in time. Its back end
+ * is used without the agent until the agent reports again; after repeated
+ * misses the back end is ranked last for some time.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Now Current time.
  */
 void agentSilent(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
- * Looks again before sending: news may have come while a place was waited for.
+ * Checks a chosen back end again before the request is sent: its state may have
+ * changed while the request waited for a slot.
  * @param Pool The state.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Needs What the request needs.
  * @param Now Current time.
- * @return Whether the back end may still get it.
+ * @return Whether the request may still be sent there.
  */
 bool mayStillUse(const ServerPool &Pool, const InstanceId &Id,
                  const ServerNeeds &Needs, TimePoint Now);
 
 /**
- * Says until when a request that was sent to a back end may still begin there.
- * @param Pool State.
- * @param Id The back end.
- * @param SentOn Weights that it had when the request was sent.
- * @return Time; nothing: its weights are wanted, or nothing is known of them.
+ * Gives the latest time at which a request that was already sent to a back end
+ * may start there.
+ * @param Pool The state.
+ * @param Id Instance of the back end.
+ * @param SentOn Weights that the back end had when the request was sent.
+ * @return Time; nothing: no limit, as its weights are the wanted ones or
+ * unknown.
  */
 std::optional<TimePoint> mayBeginUntil(const ServerPool &Pool,
                                        const InstanceId &Id,
                                        const Digest &SentOn);
 
 /**
- * Gives the version of weights to demand of a back end. What is believed of it
- * may be old; once some former version may not begin requests any more, a back
- * end that has another one than believed must refuse.
+ * Gives the weights version that a request must require of a back end. This
+ * entry's view of the back end may be out of date: once any former version has
+ * expired, a back end that has another version than expected must refuse the
+ * request.
  * @param Pool The state.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Now Current time.
- * @return The version; empty: any will do.
+ * @return The version; empty: any version is accepted.
  */
 std::string versionToDemand(const ServerPool &Pool, const InstanceId &Id,
                             TimePoint Now);
 
 /**
- * Gives the weights that a back end's model should have, as far as is known.
+ * Gives the weights that a back end should load for its model.
  * @param Pool The state.
- * @param View Which back end.
- * @return The wanted weights; null for a plain service.
+ * @param View The back end.
+ * @return The wanted weights; null where none are known, as for a service
+ * without a model.
  */
 const WantedWeights *wantedAt(const ServerPool &Pool, const ServerView &View);
 
 /**
- * An attempt goes to a back end.
+ * Counts an attempt as open at its back end.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  */
 void attemptOpened(ServerPool &Pool, const InstanceId &Id);
 
 /**
- * A back end told its load with an answer.
+ * Records the load that a back end reported with an answer.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Busy Requests that run or wait there.
  * @param Now Current time.
  */
@@ -130,59 +137,60 @@
               TimePoint Now);
 
 /**
- * Any part of an answer came from a back end.
+ * Records that any part of an answer arrived from a back end.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param Now Current time.
  */
 void serverHeard(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
- * Gives when a back end answered anybody here last.
+ * Gives when a back end last sent any part of an answer to this entry.
  * @param Pool The state.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @return Time of the last byte.
  */
 TimePoint lastHeard(const ServerPool &Pool, const InstanceId &Id);
 
 /**
- * The first part of an answer came.
+ * Records how long the first part of an answer took.
  * @param Pool State to change.
- * @param Service Whose answer.
+ * @param Service Service that answered.
  * @param Took Time since the request was sent.
  */
 void firstPartCame(ServerPool &Pool, const ServiceName &Service, Duration Took);
 
 /**
- * Gives the time in which most first parts of answers come.
+ * Gives the time within which most answers of a service begin.
  * @param Pool The state.
- * @param Service Whose answers.
- * @param Otherwise What to give while none has been seen.
- * @return The time since the request was sent.
+ * @param Service Service that answers.
+ * @param Otherwise Value to give before any answer was seen.
+ * @return Time since the request was sent.
  */
 Duration usualFirstPart(const ServerPool &Pool, const ServiceName &Service,
                         Duration Otherwise);
 
 /**
- * Gives the weights that a back end is believed to have.
+ * Gives the weights that a back end has loaded, as last reported.
  * @param Pool The state.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @return The set; empty when unknown.
  */
 Digest weightsAt(const ServerPool &Pool, const InstanceId &Id);
 
 /**
- * An agent answered an ask, and told how much its back end has to read.
+ * Records the prefill backlog of a back end from its agent's reply to a slot
+ * request.
  * @param Pool State to change.
- * @param Id Which back end.
- * @param Reading Time that the reading takes.
+ * @param Id Instance of the back end.
+ * @param Reading Time that its queued prompts take to prefill.
  */
 void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Reading);
 
 /**
- * An attempt ended.
+ * Records the end of an attempt and what it shows of its back end.
  * @param Pool State to change.
- * @param Id Which back end.
+ * @param Id Instance of the back end.
  * @param How How it ended.
  * @param Took How long it lasted.
  * @param Now Current time.
@@ -191,21 +199,21 @@
                    Duration Took, TimePoint Now);
 
 /**
- * A back end said that another run of it holds the address, or that it has
- * other weights than was believed.
+ * Avoids a back end for a short time after it reported that another instance
+ * has its address, or that it has other weights than expected.
  * @param Pool State to change.
- * @param Id Which run is gone or was misjudged.
+ * @param Id Instance that is gone or has other weights.
  * @param Now Current time.
  */
 void serverMisjudged(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
- * Says how many idle connections to each back end of a service are kept. A back
- * end bears a number of them from all entries together and resets those beyond,
- * whoever's request is on them.
+ * Gives how many idle connections this entry keeps to each back end of a
+ * service. A back end accepts a limited number of connections from all entries
+ * together and resets those above it, including ones that carry a request.
  * @param Pool The state.
- * @param Service Which service.
- * @return How many this entry keeps at most.
+ * @param Service Service of the back ends.
+ * @return Largest number of idle connections to one back end.
  */
 size_t connectionsToKeep(const ServerPool &Pool, const ServiceName &Service);
 
--- a/packages/core/src/forwarding/server_pool_type.h
+++ b/packages/core/src/forwarding/server_pool_type.h
@@ -1,4 +1,4 @@
-/** @file server_pool_type.h Back ends as one entry uses them. */
+/** @file server_pool_type.h Back ends as seen by one entry. */
 
 #ifndef JACINTHPOND_CORE_SERVER_POOL_TYPE_H
 #define JACINTHPOND_CORE_SERVER_POOL_TYPE_H
@@ -16,121 +16,126 @@
 
 namespace jacinthpond {
 
-/** What an agent says of the back end beside it. */
+/** State of a back end as its agent reports it. */
 struct AgentNews {
-  Address Server; ///< Where that back end takes requests.
-  WorkerState State = WorkerState::Empty; ///< How far it is from serving.
+  Address Server; ///< Where the back end accepts requests.
+  WorkerState State = WorkerState::Empty; ///< Whether it can serve.
   uint32_t Busy = 0;                      ///< Requests that run or wait there.
-  Digest Weights;      ///< What it has loaded; empty: nothing whole.
-  bool Fresh = false;  ///< The agent answers now.
+  Digest Weights;      ///< Weights it has loaded; empty: no complete set.
+  bool Fresh = false;  ///< The agent responds at present.
   LinkId Link;         ///< Link to the agent; 0: none.
-  bool Silent = false; ///< Its link ended in silence, it was not closed.
-  std::optional<double> PerSecond = {}; ///< Rate limit that it keeps.
+  bool Silent = false; ///< Its link timed out instead of being closed.
+  std::optional<double> PerSecond = {}; ///< Rate limit it enforces, per second.
 };
 
-/** One back end as this entry sees it. */
+/** State that this entry keeps of one back end. */
 struct ServerView {
-  BackEndServer Listed;              ///< What the document says.
-  std::optional<TimePoint> Vanished; ///< Since when it is not listed.
-  uint32_t Open = 0;                 ///< Attempts of this entry there.
-  uint32_t OtherWork = 0;            ///< Work of other entries, as told last.
-  Duration Reading{0};            ///< Prompts to be read there, as of ToldAt.
-  TimePoint ToldAt;               ///< When OtherWork was told.
-  std::optional<AgentNews> Agent; ///< Last word of its agent.
-  TimePoint SilentSince;          ///< When the agent fell silent, if it has.
-  Digest Weights;                 ///< What it has loaded, newest word.
-  uint32_t Failures = 0;          ///< Attempts in a row that broke.
-  TimePoint AvoidUntil;           ///< Left alone until then.
-  uint32_t SlowAsks = 0;          ///< Asks in a row without a timely answer.
-  TimePoint SlowUntil;            ///< Its agent is asked last until then.
-  double ErrorShare = 0;          ///< Answers that were errors, weighed.
-  TimePoint LastHeard;            ///< Last byte of any answer of it.
-  /** Its host was asked for a sign of life then and has given none since. */
-  std::optional<TimePoint> Unanswered;
-  ServerRate Rate;        ///< Limit that it sets for itself.
-  TimePoint NoPlaceUntil; ///< Its agent gives none, for that limit.
-  TimePoint ColdUntil;    ///< Bears little until then.
-  ServerRate Cold;        ///< What it bears until then.
+  BackEndServer Listed;              ///< Its row in the document.
+  std::optional<TimePoint> Vanished; ///< When it left the list, if it has.
+  uint32_t Open = 0;                 ///< Open attempts of this entry there.
+  uint32_t OtherWork = 0;     ///< Requests of other entries, as last reported.
+  Duration PrefillBacklog{0}; ///< Prefill time queued there, as of ToldAt.
+  TimePoint ToldAt;           ///< When its load was last reported.
+  std::optional<AgentNews> Agent; ///< Last report of its agent.
+  TimePoint SilentSince;          ///< When the agent last stopped responding.
+  Digest Weights;                 ///< Weights it has loaded, as last reported.
+  uint32_t Failures = 0;          ///< Consecutive failed attempts.
+  TimePoint AvoidUntil;           ///< It gets no request before this time.
+  uint32_t MissedReplies = 0; ///< Consecutive slot requests without a reply.
+  TimePoint RankLastUntil;    ///< Ranked behind all others until this time.
+  double ErrorShare = 0;      ///< Moving average of its share of errors.
+  TimePoint LastByteAt;       ///< When the last byte of any answer arrived.
+  /** When the liveness probe that its host has not answered yet was sent. */
+  std::optional<TimePoint> ProbePendingSince;
+  ServerRate Rate;       ///< Rate limit that it sets for itself.
+  TimePoint NoSlotUntil; ///< Its agent grants no slot until then: rate limit.
+  TimePoint ColdUntil;   ///< End of its cold start, with a reduced rate.
+  ServerRate ColdLimit;  ///< Rate that it can take during its cold start.
 };
 
-/** Weights that were wanted before others, and may begin requests for a while.
- */
+/** Weights of a model that were replaced; requests may start on them until a
+ * deadline. */
 struct FormerWeights {
-  Digest Set;          ///< Which set.
+  Digest Set;          ///< Digest of the set.
   std::string Version; ///< Its version, as the publisher names it.
-  TimePoint Until;     ///< Until when it may begin requests.
+  TimePoint Until;     ///< No request may start on them from this time on.
 };
 
-/** Wanted weights of one model. */
+/** Weights that the workers of one model should load. */
 struct WantedWeights {
-  Digest Set;          ///< Wanted set.
+  Digest Set;          ///< Digest of the wanted set.
   std::string Version; ///< Its version, as the publisher names it.
-  /** Its document was not published before this; nothing: not known. */
+  /** Earliest time at which its document can have been published; nothing:
+   * unknown. */
   std::optional<TimePoint> PublishedAfter;
-  std::vector<FormerWeights> Formers; ///< Sets wanted before, oldest first.
+  std::vector<FormerWeights> Formers; ///< Replaced sets, oldest first.
 };
 
-/** Bounds and habits of the choice; from the settings. */
+/** Options of a server pool; from the settings. */
 struct PoolOptions {
   HostName Self;                 ///< Name of this entry.
   DomainName Domain;             ///< Failure domain of this entry.
-  Millis FormerWeightsFor{5000}; ///< How long a former version may begin.
-  Millis LapseGrace{2200};       ///< Wait for servers to be listed again.
+  Millis FormerWeightsFor{5000}; ///< Time for requests to start on replaced
+                                 ///< weights.
+  Millis LapseGrace{2200}; ///< Time for servers to register again after an
+                           ///< outage of the list.
 };
 
-/** All back ends that routes lead to. */
+/** All back ends that routes lead to, and what one entry has learned of them.
+ */
 struct ServerPool {
   PoolOptions Options;                             ///< From the settings.
   DocumentPtr Doc;                                 ///< Document in force.
-  std::map<InstanceId, ServerView> Servers;        ///< By run.
+  std::map<InstanceId, ServerView> Servers;        ///< By instance.
   std::map<ModelName, WantedWeights> Wanted;       ///< By model.
-  std::map<ServiceName, Duration> UsualTime;       ///< Length of an answer.
-  std::map<ServiceName, TimePoint> NextTurn;       ///< Of callers to come back.
-  std::map<ServiceName, FirstPartTime> FirstParts; ///< Time to its first part.
-  TimePoint ListingDoubtUntil;   ///< Till then a missing server may come back.
-  uint32_t Entries = 1;          ///< Entries that share, this one included.
-  std::vector<HostName> Sharers; ///< Their names; empty: not known.
-  uint64_t Random = 88172645463325252ULL; ///< Breaks ties.
+  std::map<ServiceName, Duration> UsualAnswerTime; ///< Mean time of an answer.
+  std::map<ServiceName, TimePoint> LastRetryTime;  ///< Last retry time given
+                                                   ///< at the rate limit.
+  std::map<ServiceName, FirstPartTime> FirstPartTimes; ///< Time to first part.
+  TimePoint KeepUnlistedUntil; ///< Unlisted servers are used until then.
+  uint32_t Entries = 1; ///< Entries that use the back ends, with this one.
+  std::vector<HostName> Sharers; ///< Names of those entries; empty: unknown.
+  uint64_t Random = 88172645463325252ULL; ///< State of the random generator.
 };
 
 /** What a request needs of a back end. */
 struct ServerNeeds {
-  ServiceName Service;           ///< Which service.
-  const Route *From = nullptr;   ///< Its route.
-  const Tenant *Owner = nullptr; ///< Its tenant; null: none.
-  std::set<InstanceId> Tried;    ///< Not these again.
-  std::set<InstanceId> Full;     ///< Said to have no room just now.
-  Digest Weights; ///< Only this set, to go on with an answer, as long as it
-                  ///< may begin requests; empty: any.
+  ServiceName Service;           ///< Service that it is for.
+  const Route *From = nullptr;   ///< Route that it matched.
+  const Tenant *Owner = nullptr; ///< Workspace that it belongs to; null: none.
+  std::set<InstanceId> Tried;    ///< Back ends that were already tried.
+  std::set<InstanceId> Full;     ///< Back ends that just reported no free slot.
+  Digest Weights; ///< The only set that can resume the answer, as long as
+                  ///< requests may start on it; empty: any.
 };
 
-/** Why no back end was given. */
+/** Why no back end was chosen. */
 enum class PoolRefusal : uint8_t {
-  NoneListed, ///< No back end of the service may be used at all.
-  AllFull     ///< Those that may be used have no room.
+  NoneListed, ///< No back end of the service is usable.
+  AllFull     ///< All usable back ends are at their capacity.
 };
 
-/** A back end for one attempt, or why there is none. */
+/** Result of choosing a back end for one attempt. */
 struct ServerChoice {
-  const ServerView *Server = nullptr;        ///< Chosen; null: none.
+  const ServerView *Server = nullptr;        ///< Chosen back end; null: none.
   PoolRefusal Why = PoolRefusal::NoneListed; ///< Meaningful without a server.
-  Millis RetryAfter{0};                      ///< When there may be room.
-  uint32_t Candidates = 0;                   ///< Back ends that were compared.
-  uint32_t Limited = 0;                      ///< Those of them at their rate.
-  double PerSecond = 0;                      ///< Requests that these take.
-  TimePoint LimitedUntil = TimePoint::max(); ///< When the first of them may be
-                                             ///< asked for a place again.
+  Millis RetryAfter{0};                      ///< Time until there may be room.
+  uint32_t Candidates = 0; ///< Usable back ends that were compared.
+  uint32_t Limited = 0;    ///< Candidates at their rate limit.
+  double PerSecond = 0;    ///< Sum of the rate limits of these.
+  TimePoint LimitedUntil = TimePoint::max(); ///< When the first of them may
+                                             ///< grant a slot again.
 };
 
-/** How an attempt ended, as far as its back end goes. */
+/** How an attempt ended at its back end. */
 enum class AttemptEnd : uint8_t {
-  Answered,  ///< A whole answer that is no error.
-  Error,     ///< A whole answer that is an error of the back end.
-  Refused,   ///< It said that it did not run it.
-  Unreached, ///< No connection came about.
-  Broken,    ///< It broke off, or sent what cannot be read.
-  Dropped,   ///< Given up here; says nothing about the back end.
-  NotSent    ///< Its agent gave no place: the back end never heard of it.
+  Answered,  ///< A complete answer that is not an error.
+  Error,     ///< A complete answer that is an error of the back end.
+  Refused,   ///< The back end reported that it did not run the request.
+  Unreached, ///< The connection could not be established.
+  Broken,    ///< The answer was cut off or malformed.
+  Dropped,   ///< Cancelled by this entry; says nothing about the back end.
+  NotSent    ///< The agent granted no slot; the back end got nothing.
 };
 
 } // namespace jacinthpond
--- a/tests/unit/caller_age_test.cpp
+++ b/tests/unit/caller_age_test.cpp
@@ -1,5 +1,4 @@
-/** @file caller_age_test.cpp Callers that come back are told from fresh ones.
- */
+/** @file caller_age_test.cpp Distinguishing retrying callers from new ones. */
 // Labels: routes admission
 
 #include "forwarding/caller_age_func.h"
@@ -10,79 +9,82 @@
 
 namespace {
 
-Route streams() {
-  Route From;
-  From.Name = "r";
-  From.Timeout = Millis(6000);
-  return From;
+/** Makes a route with a timeout of six seconds. */
+Route makeRoute() {
+  Route Matched;
+  Matched.Name = "r";
+  Matched.Timeout = Millis(6000);
+  return Matched;
 }
 
-/** Fresh callers, whose deadlines differ by a sixth. */
-void learn(CallerHabits &Habits, const Route &From) {
+/** Learns the deadlines of new callers, which differ by a sixth. */
+void learnDeadlines(CallerHabits &Habits, const Route &Matched) {
   for (int n = 0; n < 100; ++n)
-    BOOST_TEST(callerAge(Habits, From, Millis(5100 + (n * 37) % 900)).count() ==
-               0);
+    BOOST_TEST(
+        callerAge(Habits, Matched, Millis(5100 + (n * 37) % 900)).count() == 0);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(OneThatWasAwayIsOlder) {
+BOOST_AUTO_TEST_CASE(ARetryingCallerHasAnAge) {
   CallerHabits Habits;
-  const Route From = streams();
-  learn(Habits, From);
-  const Duration Age = callerAge(Habits, From, Millis(4000));
+  const Route Matched = makeRoute();
+  learnDeadlines(Habits, Matched);
+  const Duration Age = callerAge(Habits, Matched, Millis(4000));
   BOOST_TEST(toMillis(Age).count() > 500);
   BOOST_TEST(toMillis(Age).count() <= 2000);
 }
 
-// A single caller with an endless deadline must not make all others look old:
-// no route keeps a request longer than its timeout.
-BOOST_AUTO_TEST_CASE(OneEndlessDeadlineChangesNothing) {
+// Guards against a single caller with a very long deadline that makes all
+// others look like retrying ones: no route keeps a request longer than its
+// timeout.
+BOOST_AUTO_TEST_CASE(ADeadlineBeyondTheTimeoutHasNoEffect) {
   CallerHabits Habits;
-  const Route From = streams();
-  callerAge(Habits, From, std::chrono::hours(1));
-  learn(Habits, From);
+  const Route Matched = makeRoute();
+  callerAge(Habits, Matched, std::chrono::hours(1));
+  learnDeadlines(Habits, Matched);
 }
 
-// The operator gives a route a shorter timeout, or callers change their habits.
+// Guards against new callers that look old after the operator shortened the
+// timeout of a route, or after callers changed their deadlines.
 BOOST_AUTO_TEST_CASE(FormerDeadlinesAreForgotten) {
   CallerHabits Habits;
-  const Route From = streams();
-  learn(Habits, From);
+  const Route Matched = makeRoute();
+  learnDeadlines(Habits, Matched);
   for (int n = 0; n < 500; ++n)
-    callerAge(Habits, From, Millis(2000));
-  BOOST_TEST(callerAge(Habits, From, Millis(2000)).count() == 0);
+    callerAge(Habits, Matched, Millis(2000));
+  BOOST_TEST(callerAge(Habits, Matched, Millis(2000)).count() == 0);
 }
 
-// Routes get new names with each change of the configuration; what was learned
-// of those that are gone must not stay in memory for ever.
-BOOST_AUTO_TEST_CASE(RoutesThatAreGoneAreForgotten) {
+// Guards against a memory leak: routes get new names with each change of the
+// configuration.
+BOOST_AUTO_TEST_CASE(RemovedRoutesAreForgotten) {
   CallerHabits Habits;
   Document Doc;
-  Doc.Routes.push_back(streams());
-  learn(Habits, Doc.Routes.front());
+  Doc.Routes.push_back(makeRoute());
+  learnDeadlines(Habits, Doc.Routes.front());
   forgetOtherRoutes(Habits, Doc);
-  BOOST_TEST(Habits.FirstDeadline.size() == 1U);
+  BOOST_TEST(Habits.LongestDeadline.size() == 1U);
   forgetOtherRoutes(Habits, Document{});
-  BOOST_TEST(Habits.FirstDeadline.empty());
+  BOOST_TEST(Habits.LongestDeadline.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ALateRequestKeepsTimeToComeBack) {
+BOOST_AUTO_TEST_CASE(ALateRequestKeepsTimeForARetry) {
   BOOST_TEST(lateWait(Millis(3000)).count() == 1000);
   BOOST_TEST(lateWait(std::chrono::hours(1)).count() <= 2000);
   BOOST_TEST(lateWait(Duration{-1}).count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(WhoWasSentAwayForThatLongIsKnownWhenItComesBack) {
-  // More callers came than could be served. Refused ones came back after 0.2 s,
-  // passed for fresh ones, since callers' deadlines differ by a sixth, and took
-  // the places of others that could still be on time; they themselves were
-  // late.
+BOOST_AUTO_TEST_CASE(ACallerIsRecognizedAfterThatRetryDelay) {
+  // Guards against late callers that take the slots of others under overload:
+  // refused ones retried after 0.2 s and counted as new, since the deadlines of
+  // new callers differ by a sixth. They were late already, and others that
+  // could still be on time got no slot.
   CallerHabits Habits;
-  const Route From = streams();
-  BOOST_TEST((awayToBeKnown(Habits, From) == Duration{0}));
-  learn(Habits, From);
-  const Duration Away = awayToBeKnown(Habits, From);
-  BOOST_TEST((Away > Millis(1000) && Away < Millis(1300)));
-  BOOST_TEST((callerAge(Habits, From, Millis(5900) - Away) > Duration{0}));
+  const Route Matched = makeRoute();
+  BOOST_TEST((awayToBeKnown(Habits, Matched) == Duration{0}));
+  learnDeadlines(Habits, Matched);
+  const Duration Delay = awayToBeKnown(Habits, Matched);
+  BOOST_TEST((Delay > Millis(1000) && Delay < Millis(1300)));
+  BOOST_TEST((callerAge(Habits, Matched, Millis(5900) - Delay) > Duration{0}));
 }
--- a/tests/unit/caller_wait_test.cpp
+++ b/tests/unit/caller_wait_test.cpp
@@ -1,4 +1,5 @@
-/** @file caller_wait_test.cpp How long a caller waits for the next part. */
+/** @file caller_wait_test.cpp How long a caller waits for the next part of an
+ * answer. */
 // Labels: routes
 
 #include "forwarding/caller_wait_func.h"
@@ -9,10 +10,11 @@
 
 namespace {
 
-constexpr TimePoint Came{std::chrono::hours(1)};
-constexpr TimePoint Deadline = Came + Millis(6000);
+constexpr TimePoint Arrival{std::chrono::hours(1)};
+constexpr TimePoint Deadline = Arrival + Millis(6000);
 
-Route stream() {
+/** Makes a route of streams whose callers accept a silence of 2.4 s. */
+Route makeStreamRoute() {
   Route One;
   One.Kind = RouteKind::Stream;
   One.LongestSilence = Millis(2400);
@@ -21,26 +23,27 @@
 
 } // namespace
 
-// Guards against streams that are worked on until a deadline which their
-// callers do not wait for.
+// Guards against streams that run until a deadline for which their callers do
+// not wait.
 BOOST_AUTO_TEST_CASE(AStreamIsAnsweredBeforeItsCallerLeaves) {
-  const TimePoint By = answerNeededBy(stream(), Deadline, Came);
-  BOOST_TEST((By < Came + Millis(2400)));
-  BOOST_TEST((By >= Came + Millis(2250)));
+  const TimePoint By = answerNeededBy(makeStreamRoute(), Deadline, Arrival);
+  BOOST_TEST((By < Arrival + Millis(2400)));
+  BOOST_TEST((By >= Arrival + Millis(2250)));
 }
 
-BOOST_AUTO_TEST_CASE(EachPartBeginsTheWaitAnew) {
-  const TimePoint Given = Came + Millis(3000);
-  BOOST_TEST((answerNeededBy(stream(), Deadline, Given) > Came + Millis(5000)));
-  const TimePoint Late = Came + Millis(4000);
-  BOOST_TEST((answerNeededBy(stream(), Deadline, Late) == Deadline));
+BOOST_AUTO_TEST_CASE(EachPartRestartsTheWait) {
+  const TimePoint Given = Arrival + Millis(3000);
+  BOOST_TEST((answerNeededBy(makeStreamRoute(), Deadline, Given) >
+              Arrival + Millis(5000)));
+  const TimePoint Late = Arrival + Millis(4000);
+  BOOST_TEST((answerNeededBy(makeStreamRoute(), Deadline, Late) == Deadline));
 }
 
 BOOST_AUTO_TEST_CASE(OtherRequestsHaveTheirDeadline) {
-  Route One = stream();
+  Route One = makeStreamRoute();
   One.Kind = RouteKind::Idempotent;
-  BOOST_TEST((answerNeededBy(One, Deadline, Came) == Deadline));
-  One = stream();
+  BOOST_TEST((answerNeededBy(One, Deadline, Arrival) == Deadline));
+  One = makeStreamRoute();
   One.LongestSilence = Millis{0};
-  BOOST_TEST((answerNeededBy(One, Deadline, Came) == Deadline));
+  BOOST_TEST((answerNeededBy(One, Deadline, Arrival) == Deadline));
 }
--- a/tests/unit/come_back_test.cpp
+++ b/tests/unit/come_back_test.cpp
@@ -1,4 +1,4 @@
-/** @file come_back_test.cpp When refused callers are told to come back. */
+/** @file come_back_test.cpp Retry delays for refused callers. */
 // Labels: routes admission
 
 #include "forwarding/come_back_func.h"
@@ -12,8 +12,9 @@
 
 namespace {
 
-/** Most callers of 500, refused at once, that come back in some 100 ms. */
-size_t mostTogether(const Failure &Why, Duration Left) {
+/** Gives the largest number of 500 callers refused at once that retry within
+ * the same 100 ms. */
+size_t maxSimultaneousRetries(const Failure &Why, Duration Left) {
   uint64_t Random = 7;
   std::vector<size_t> Slots(100);
   for (int n = 0; n < 500; ++n)
@@ -24,23 +25,23 @@
 
 } // namespace
 
-// Everything restarts. 500 callers were told the same second, came back in the
-// same 100 ms, and 400 of them were refused once more although the places were
-// free a moment later.
-BOOST_AUTO_TEST_CASE(CallersRefusedTogetherComeBackApart) {
+// Guards against a burst of retries after a restart of the whole fleet: 500
+// callers were told the same delay, retried within the same 100 ms, and 400 of
+// them were refused again although slots were free a moment later.
+BOOST_AUTO_TEST_CASE(RetriesOfCallersRefusedTogetherAreSpread) {
   const Failure NoView{ErrorKind::StaleView, "", {}};
-  BOOST_TEST(mostTogether(NoView, std::chrono::seconds(6)) < 120U);
-  // Also where the time that they have left is what counts.
-  BOOST_TEST(mostTogether(NoView, std::chrono::seconds(3)) < 200U);
+  BOOST_TEST(maxSimultaneousRetries(NoView, std::chrono::seconds(6)) < 120U);
+  // Also where the remaining time limits the delay.
+  BOOST_TEST(maxSimultaneousRetries(NoView, std::chrono::seconds(3)) < 200U);
 }
 
-BOOST_AUTO_TEST_CASE(NobodyIsToldMoreThanItWaits) {
+BOOST_AUTO_TEST_CASE(TheRetryDelayIsAPartOfTheRemainingTime) {
   uint64_t Random = 7;
   const Failure Why{ErrorKind::Overloaded, "", Millis(60000)};
   for (int n = 0; n < 100; ++n) {
-    const Millis Told = comeBackAfter(Why, Millis(3000), Random);
-    BOOST_TEST(Told.count() <= 1000);
-    BOOST_TEST(Told.count() >= 600);
+    const Millis Delay = comeBackAfter(Why, Millis(3000), Random);
+    BOOST_TEST(Delay.count() <= 1000);
+    BOOST_TEST(Delay.count() >= 600);
   }
   BOOST_TEST(comeBackAfter(Why, Millis(-5), Random).count() == 0);
 }
--- a/tests/unit/event_stream_test.cpp
+++ b/tests/unit/event_stream_test.cpp
@@ -1,4 +1,4 @@
-/** @file event_stream_test.cpp Streams are cut at whole events. */
+/** @file event_stream_test.cpp Splitting a stream at event boundaries. */
 // Labels: routes
 
 #include "forwarding/event_stream_func.h"
@@ -7,9 +7,10 @@
 
 using namespace jacinthpond;
 
-BOOST_AUTO_TEST_CASE(OnlyWholeEventsLeave) {
-  // A caller saw half an event twice: a back end died in the middle of one,
-  // the stream went on at another, which sent that event again from its start.
+BOOST_AUTO_TEST_CASE(OnlyCompleteEventsAreForwarded) {
+  // Guards against sending half an event twice: a back end died in the middle
+  // of an event, and the one that resumed the stream sent it again from its
+  // start.
   EventStream Stream;
   std::string Out;
   BOOST_CHECK(putEvents(Stream, "id: 1\ndata: a\n\nid: 2\nda", Out) ==
@@ -22,9 +23,9 @@
   BOOST_TEST(*Stream.LastId == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(AGapBetweenIdsIsNoticed) {
-  // An event was missing in an answer that looked whole: the second back end
-  // went on one event too late.
+BOOST_AUTO_TEST_CASE(AMissingEventIsDetected) {
+  // Guards against an answer that lacks an event and looks complete: the second
+  // back end resumed it one event too late.
   EventStream Stream;
   Stream.LastId = 4;
   std::string Out;
@@ -33,7 +34,7 @@
   BOOST_TEST(Out.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ARepeatedEventIsNoticed) {
+BOOST_AUTO_TEST_CASE(ARepeatedEventIsDetected) {
   EventStream Stream;
   Stream.LastId = 4;
   std::string Out;
@@ -41,7 +42,7 @@
               EventVerdict::OutOfOrder);
 }
 
-BOOST_AUTO_TEST_CASE(LinesMayEndEitherWay) {
+BOOST_AUTO_TEST_CASE(LinesMayEndWithLfOrCrLf) {
   EventStream Stream;
   std::string Out;
   BOOST_CHECK(putEvents(Stream, "id:7\r\ndata: x\r\n\r\n", Out) ==
@@ -49,7 +50,7 @@
   BOOST_TEST(*Stream.LastId == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(AnEndlessEventIsGivenUp) {
+BOOST_AUTO_TEST_CASE(AnEventAboveTheSizeLimitIsRejected) {
   EventStream Stream;
   std::string Out;
   BOOST_CHECK(putEvents(Stream, std::string(MaxEventBytes + 1, 'x'), Out) ==
--- a/tests/unit/fleet_snapshot_test.cpp
+++ b/tests/unit/fleet_snapshot_test.cpp
@@ -1,5 +1,4 @@
-/** @file fleet_snapshot_test.cpp What the traffic thread is told of the fleet.
- */
+/** @file fleet_snapshot_test.cpp State of the fleet for the traffic thread. */
 // Labels: routes membership
 
 #include "one_entry.h"
@@ -11,10 +10,10 @@
 
 using namespace jacinthpond;
 
-BOOST_AUTO_TEST_CASE(AnEntryThatLostItsLinksStillSharesWithTheOthers) {
-  // An entry stood still while a worker started anew. It had dropped its links
-  // on waking and took itself for the only one: it sent the cold worker the
-  // rate of the whole fleet, beside what the others sent.
+BOOST_AUTO_TEST_CASE(AnEntryWithoutLinksStillSharesWithTheOthers) {
+  // Guards against an entry that was paused, has dropped its links on resuming,
+  // and takes itself for the only entry: it sent a cold worker the rate of the
+  // whole fleet, in addition to what the others sent.
   const TimePoint Now{std::chrono::hours(1)};
   Settings Config;
   Config.Name = "e0";
@@ -34,44 +33,45 @@
   BOOST_TEST(Snapshot.Sharers == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(APauseIsNoOutageOfTheList) {
-  // An entry stood still while a server vanished from the list. It woke with no
-  // links, took the list for away, and went on using the server for two
-  // seconds, as it does after an outage.
-  OneEntry One;
-  One.read(document(5));
-  One.joinAll(5);
-  BOOST_REQUIRE(One.fresh());
-  BOOST_TEST(!fleetSnapshot(One.State, One.Now).ListingAway);
-  One.Now += Millis(5000);
-  entryTick(One.State, One.Now, One.Out);
-  BOOST_TEST(!fleetSnapshot(One.State, One.Now).ListingAway);
+BOOST_AUTO_TEST_CASE(APauseIsNotAnOutageOfTheList) {
+  // Guards against an entry that was paused while a server left the list, has
+  // no links on resuming, takes that for an outage of the list, and uses the
+  // server for two more seconds as it does after an outage.
+  OneEntry Fixture;
+  Fixture.read(document(5));
+  Fixture.joinAll(5);
+  BOOST_REQUIRE(Fixture.fresh());
+  BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
+  Fixture.Now += Millis(5000);
+  entryTick(Fixture.State, Fixture.Now, Fixture.Out);
+  BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
 }
 
-BOOST_AUTO_TEST_CASE(AStartingEntrySaysUntilWhenItMayBecomeReady) {
-  // All entries were killed and started again. Their callers came back while
-  // they joined the fleet, were refused for want of a view, and had no try left
-  // 0.2 s later, when every back end was idle. A request is held until then,
-  // and not for an entry that finds nobody.
-  OneEntry One;
-  const FleetSnapshot Starting = fleetSnapshot(One.State, One.Now);
+BOOST_AUTO_TEST_CASE(AStartingEntryTellsWhenItIsExpectedToBeReady) {
+  // Guards against refusing callers while all entries restart: callers retried
+  // while the entries joined the fleet, were refused for lack of a fresh view,
+  // and had no attempt left 0.2 s later, when all back ends were idle. Requests
+  // are held until the entry is ready, but not if it finds no peers.
+  OneEntry Fixture;
+  const FleetSnapshot Starting = fleetSnapshot(Fixture.State, Fixture.Now);
   BOOST_TEST(!Starting.Ready);
-  BOOST_TEST((Starting.ReadyBy > One.Now));
-  One.pass(Millis(3000));
-  const FleetSnapshot Alone = fleetSnapshot(One.State, One.Now);
+  BOOST_TEST((Starting.ReadyBy > Fixture.Now));
+  Fixture.pass(Millis(3000));
+  const FleetSnapshot Alone = fleetSnapshot(Fixture.State, Fixture.Now);
   BOOST_TEST(!Alone.Ready);
-  BOOST_TEST((Alone.ReadyBy < One.Now));
+  BOOST_TEST((Alone.ReadyBy < Fixture.Now));
 }
 
-BOOST_AUTO_TEST_CASE(AServiceThatAnswersNobodyIsAnOutageOfTheList) {
-  OneEntry One;
-  One.read(document(5));
-  One.joinAll(5);
+BOOST_AUTO_TEST_CASE(
+    AConfigurationServiceThatAnswersNoEntryIsAnOutageOfTheList) {
+  OneEntry Fixture;
+  Fixture.read(document(5));
+  Fixture.joinAll(5);
   for (int n = 0; n < 10; ++n) {
     for (const char *Name : {"b", "c", "e", "w"})
-      One.hear(Name, One.beat(Name));
-    One.pass(Millis(500));
+      Fixture.hear(Name, Fixture.beat(Name));
+    Fixture.pass(Millis(500));
   }
-  BOOST_REQUIRE(One.fresh());
-  BOOST_TEST(fleetSnapshot(One.State, One.Now).ListingAway);
+  BOOST_REQUIRE(Fixture.fresh());
+  BOOST_TEST(fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
 }
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -1,4 +1,4 @@
-/** @file liveness_test.cpp Whether the host of a back end runs. */
+/** @file liveness_test.cpp Detecting unresponsive hosts of back ends. */
 // Labels: routes
 
 #include "forwarding/liveness_func.h"
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr LinkId First{7};
-constexpr LinkId Second{8};
+constexpr LinkId FirstLink{7};
+constexpr LinkId SecondLink{8};
 
-/** Two model workers whose agents serve on links of this entry. */
-struct Hosts {
-  Hosts() {
+/** A pool of two model workers whose agents are linked to this entry. */
+struct HostsFixture {
+  HostsFixture() {
     From.Kind = RouteKind::Stream;
     From.Target = Millis(400);
     Service Model;
@@ -32,32 +32,34 @@
     Wanted.Set.Value = "m@1";
     Doc.Models = {Wanted};
     poolFollows(Pool, std::make_shared<const Document>(Doc), Now, Now);
-    serves("m0", First);
-    serves("m1", Second);
+    sendHeartbeat("m0", FirstLink);
+    sendHeartbeat("m1", SecondLink);
   }
 
+  /** Makes a listed worker with four slots. */
   static BackEndServer server(const std::string &Id) {
-    BackEndServer One;
-    One.Id.Value = Id;
-    One.Service.Value = "llm";
-    One.At.Value = Id + ":1";
-    One.Slots = 4;
-    One.Weights.Value = "m@1";
-    return One;
+    BackEndServer Server;
+    Server.Id.Value = Id;
+    Server.Service.Value = "llm";
+    Server.At.Value = Id + ":1";
+    Server.Slots = 4;
+    Server.Weights.Value = "m@1";
+    return Server;
   }
 
-  /** A heartbeat of an agent. */
-  void serves(const std::string &Id, LinkId Link) {
+  /** Applies a heartbeat of a worker's agent. */
+  void sendHeartbeat(const std::string &Id, LinkId Link) {
     agentTold(Pool, {{Id + ":1"}, WorkerState::Serving, 0, {"m@1"}, true, Link},
               Now);
   }
 
-  /** The link to an agent ended. */
-  void linkEnded(const std::string &Id, bool Silent) {
+  /** Ends the link to a worker's agent. */
+  void endLink(const std::string &Id, bool Silent) {
     agentTold(Pool, {{Id + ":1"}, WorkerState::Empty, 0, {}, false, {}, Silent},
               Now);
   }
 
+  /** Gives the instance that a request gets; empty: none. */
   std::string choose() {
     ServerNeeds Needs;
     Needs.Service.Value = "llm";
@@ -66,7 +68,7 @@
     return Choice.Server == nullptr ? "" : Choice.Server->Listed.Id.Value;
   }
 
-  /** Whether a back end is chosen in many tries. */
+  /** Says whether a back end is chosen in any of many tries. */
   bool isChosen(const std::string &Id) {
     for (int n = 0; n < 50; ++n)
       if (choose() == Id)
@@ -74,7 +76,8 @@
     return false;
   }
 
-  bool still(const std::string &Id) const {
+  /** Says whether the host of a back end counts as unresponsive. */
+  bool isUnresponsive(const std::string &Id) const {
     return standsStill(Pool.Servers.at({Id}), Now);
   }
 
@@ -85,101 +88,103 @@
 
 } // namespace
 
-// Guards against requests that wait in vain at a host that stands still.
-BOOST_AUTO_TEST_CASE(AHostThatLeavesAQuestionUnansweredStandsStill) {
-  Hosts All;
+// Guards against requests that hang at a paused host.
+BOOST_AUTO_TEST_CASE(AHostThatDoesNotAnswerAProbeIsUnresponsive) {
+  HostsFixture All;
   BOOST_TEST(hostAsked(All.Pool, {"m0"}, All.Now));
   All.Now += Millis(100);
-  BOOST_TEST(!All.still("m0"));
-  BOOST_TEST(!hostAsked(All.Pool, {"m0"}, All.Now)); // One is open.
+  BOOST_TEST(!All.isUnresponsive("m0"));
+  BOOST_TEST(!hostAsked(All.Pool, {"m0"}, All.Now)); // Server is pending.
   All.Now += Millis(200);
-  BOOST_TEST(All.still("m0"));
+  BOOST_TEST(All.isUnresponsive("m0"));
   BOOST_TEST(!All.isChosen("m0"));
   BOOST_TEST(All.isChosen("m1"));
 }
 
-// Guards against healthy requests being moved when an engine is slow.
-BOOST_AUTO_TEST_CASE(AHostThatAnswersRunsHoweverSlowItsEngineIs) {
-  Hosts All;
+// Guards against requests that are moved to another back end although theirs is
+// only slow.
+BOOST_AUTO_TEST_CASE(AHostThatAnswersProbesIsResponsiveHoweverSlowItsEngineIs) {
+  HostsFixture All;
   for (int n = 0; n < 20; ++n) {
     hostAsked(All.Pool, {"m0"}, All.Now);
     All.Now += Millis(100);
-    hostHeard(All.Pool, First);
-    BOOST_TEST(!All.still("m0"));
+    hostHeard(All.Pool, FirstLink);
+    BOOST_TEST(!All.isUnresponsive("m0"));
     All.Now += Millis(400);
-    BOOST_TEST(!All.still("m0"));
+    BOOST_TEST(!All.isUnresponsive("m0"));
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnySignOfTheHostIsAnAnswer) {
-  Hosts All;
+BOOST_AUTO_TEST_CASE(AnyMessageFromTheHostAnswersAProbe) {
+  HostsFixture All;
   hostAsked(All.Pool, {"m0"}, All.Now);
-  hostHeard(All.Pool, Second); // Another host.
+  hostHeard(All.Pool, SecondLink); // Another host.
   All.Now += Millis(300);
-  BOOST_TEST(All.still("m0"));
+  BOOST_TEST(All.isUnresponsive("m0"));
   serverHeard(All.Pool, {"m0"}, All.Now);
-  BOOST_TEST(!All.still("m0"));
+  BOOST_TEST(!All.isUnresponsive("m0"));
   hostAsked(All.Pool, {"m0"}, All.Now);
   All.Now += Millis(300);
-  BOOST_TEST(All.still("m0"));
-  All.serves("m0", First);
-  BOOST_TEST(!All.still("m0"));
+  BOOST_TEST(All.isUnresponsive("m0"));
+  All.sendHeartbeat("m0", FirstLink);
+  BOOST_TEST(!All.isUnresponsive("m0"));
 }
 
-// Guards against a worker that is left alone because its agent was killed.
-BOOST_AUTO_TEST_CASE(AClosedLinkTellsThatTheHostRuns) {
-  Hosts All;
+// Guards against a worker that is avoided because its agent was killed.
+BOOST_AUTO_TEST_CASE(AHostThatClosesALinkIsResponsive) {
+  HostsFixture All;
   hostAsked(All.Pool, {"m0"}, All.Now);
-  All.linkEnded("m0", false);
+  All.endLink("m0", false);
   All.Now += Millis(300);
-  BOOST_TEST(!All.still("m0"));
+  BOOST_TEST(!All.isUnresponsive("m0"));
   BOOST_TEST(All.isChosen("m0"));
 }
 
-BOOST_AUTO_TEST_CASE(ALinkThatEndsInSilenceTellsThatTheHostStandsStill) {
-  Hosts All;
-  All.linkEnded("m0", true);
-  BOOST_TEST(All.still("m0"));
+BOOST_AUTO_TEST_CASE(AHostWhoseLinkTimesOutIsUnresponsive) {
+  HostsFixture All;
+  All.endLink("m0", true);
+  BOOST_TEST(All.isUnresponsive("m0"));
   BOOST_TEST(!All.isChosen("m0"));
-  All.serves("m0", First);
+  All.sendHeartbeat("m0", FirstLink);
   BOOST_TEST(All.isChosen("m0"));
 }
 
-// Guards against a worker that is left alone for ever, since its agent ended
+// Guards against a worker that is avoided for ever because its agent ended
 // while its host was cut off.
-BOOST_AUTO_TEST_CASE(AfterAWhileSingleRequestsFindOut) {
-  Hosts All;
-  All.linkEnded("m0", true);
-  All.linkEnded("m1", false);
+BOOST_AUTO_TEST_CASE(SingleRequestsProbeAHostThatWasUnresponsiveForLong) {
+  HostsFixture All;
+  All.endLink("m0", true);
+  All.endLink("m1", false);
   All.Now += Millis(9000);
   BOOST_TEST(!All.isChosen("m0"));
   All.Now += Millis(2000);
-  attemptOpened(All.Pool, {"m1"}); // One at a time there, too.
+  attemptOpened(All.Pool, {"m1"}); // It also gets one at a time.
   BOOST_TEST(All.isChosen("m0"));
   attemptOpened(All.Pool, {"m0"});
   BOOST_TEST(!All.isChosen("m0"));
 }
 
-// Guards against an entry that refuses everything since it hears of nobody.
-BOOST_AUTO_TEST_CASE(WhereAllSeemToStandStillOneIsTried) {
-  Hosts All;
-  All.linkEnded("m0", true);
-  All.linkEnded("m1", true);
+// Guards against a cut-off entry that refuses all requests because no host
+// seems responsive.
+BOOST_AUTO_TEST_CASE(OneIsTriedIfAllAreUnresponsive) {
+  HostsFixture All;
+  All.endLink("m0", true);
+  All.endLink("m1", true);
   BOOST_TEST(!All.choose().empty());
 }
 
 // Guards against a process that takes its own pause for one of all hosts.
-BOOST_AUTO_TEST_CASE(AQuestionBeforeAnOwnPauseCountsForNothing) {
-  Hosts All;
+BOOST_AUTO_TEST_CASE(AProbeFromBeforeAPauseOfThisProcessIsDiscarded) {
+  HostsFixture All;
   hostAsked(All.Pool, {"m0"}, All.Now);
   All.Now += Millis(5000);
   forgetQuestion(All.Pool, {"m0"});
-  BOOST_TEST(!All.still("m0"));
+  BOOST_TEST(!All.isUnresponsive("m0"));
   BOOST_TEST(hostAsked(All.Pool, {"m0"}, All.Now));
 }
 
-BOOST_AUTO_TEST_CASE(MostFirstPartsComeInTheUsualTime) {
-  Hosts All;
+BOOST_AUTO_TEST_CASE(TheUsualFirstPartTimeIsLearned) {
+  HostsFixture All;
   const ServiceName Model{"llm"};
   BOOST_TEST((usualFirstPart(All.Pool, Model, Millis(400)) == Millis(400)));
   for (int n = 0; n < 50; ++n)
--- a/tests/unit/place_search_test.cpp
+++ b/tests/unit/place_search_test.cpp
@@ -1,5 +1,5 @@
-/** @file place_search_test.cpp Looking for an idle back end before a busy one
- * is taken. */
+/** @file place_search_test.cpp Searching for an idle back end before a busy one
+ * is accepted. */
 // Labels: routes admission
 
 #include "admission/reading_func.h"
@@ -19,27 +19,31 @@
 
 constexpr size_t BackEnds = 27;
 constexpr double TokensPerSecond = 31900;
-constexpr uint32_t PromptTokens = 1000; // 31 ms of reading.
-/** Requests a second that make each back end read for a third of its time. */
-constexpr double PerSecond = 0.33 * BackEnds * TokensPerSecond / PromptTokens;
+constexpr uint32_t PromptTokens = 1000; // 31 ms of prefill.
+/** Requests per second that keep each back end busy with prefill for a third of
+ * its time. */
+constexpr double RequestsPerSecond =
+    0.33 * BackEnds * TokensPerSecond / PromptTokens;
 
 const InstanceId A{"a"};
 const InstanceId B{"b"};
 
-double randomPart(uint64_t &Random) {
+/** Gives a random number from 0 to 1, without 1. */
+double randomFraction(uint64_t &Random) {
   return static_cast<double>(nextRandom(Random) >> 11U) /
          static_cast<double>(uint64_t{1} << 53U);
 }
 
-/** Back ends that entries choose by chance, since their news are too old. */
-struct Fleet {
-  Fleet() : Debts(BackEnds) {
+/** Back ends that entries choose at random, as reported loads are too old. */
+struct FleetModel {
+  FleetModel() : Debts(BackEnds) {
     for (ReadingDebt &One : Debts)
       One.TokensPerSecond = TokensPerSecond;
   }
 
-  /** Reading that a new request finds at the back end that takes it. */
-  Duration place(bool Search) {
+  /** Sends a request, and gives the prefill backlog at the back end that
+   * accepts it. */
+  Duration sendRequest(bool Search) {
     PlaceSearch State;
     std::set<size_t> Asked;
     for (;;) {
@@ -57,14 +61,15 @@
     }
   }
 
-  /** 95th percentile of the reading found by requests of a minute. */
-  Duration slowest(bool Search) {
+  /** Gives the 95th percentile of the backlog that the requests of one minute
+   * find. */
+  Duration backlogPercentile(bool Search) {
     std::vector<Duration> Found;
     const TimePoint End = Now + std::chrono::minutes(1);
     while (Now < End) {
-      Found.push_back(place(Search));
+      Found.push_back(sendRequest(Search));
       const std::chrono::duration<double> Pause(
-          -std::log(1 - randomPart(Random)) / PerSecond);
+          -std::log(1 - randomFraction(Random)) / RequestsPerSecond);
       Now += std::chrono::duration_cast<Duration>(Pause);
     }
     std::ranges::sort(Found);
@@ -78,17 +83,17 @@
 
 } // namespace
 
-// Callers wait longer than they need to for the first token while
-// most back ends read nothing: nine entries send to 27 back ends by news that
-// are older than a prompt takes to be read, so prompts meet at some of them.
-BOOST_AUTO_TEST_CASE(PromptsDoNotMeetWhileOthersAreIdle) {
-  const Duration Blind = Fleet().slowest(false);
-  const Duration Searching = Fleet().slowest(true);
-  BOOST_TEST(toMillis(Blind).count() > 30);
-  BOOST_TEST(toMillis(Searching).count() <= 15);
+// Guards against prompts that queue at some back ends while most are idle,
+// which delays first tokens: nine entries choose among 27 back ends by load
+// reports that are older than the prefill of a prompt takes.
+BOOST_AUTO_TEST_CASE(PromptsDoNotQueueWhileBackEndsAreIdle) {
+  const Duration WithoutSearch = FleetModel().backlogPercentile(false);
+  const Duration WithSearch = FleetModel().backlogPercentile(true);
+  BOOST_TEST(toMillis(WithoutSearch).count() > 30);
+  BOOST_TEST(toMillis(WithSearch).count() <= 15);
 }
 
-BOOST_AUTO_TEST_CASE(BusyOnesCountAgainWhenNobodyIsIdle) {
+BOOST_AUTO_TEST_CASE(BusyBackEndsAreAskedAgainIfNoneIsIdle) {
   PlaceSearch Search;
   ServerNeeds Needs;
   while (mostReading(Search).count() > 0) {
@@ -103,8 +108,9 @@
   BOOST_TEST(Needs.Full.contains(A));
 }
 
-// One that loads weights or does not answer has no place later either.
-BOOST_AUTO_TEST_CASE(OneThatCannotServeIsNotAskedAgain) {
+// A back end that loads weights, or whose agent does not reply, has no slot
+// later either.
+BOOST_AUTO_TEST_CASE(ABackEndThatCannotServeIsNotAskedAgain) {
   PlaceSearch Search;
   ServerNeeds Needs;
   placeAsked(Search);
@@ -117,7 +123,7 @@
   BOOST_TEST(mostReading(Search).count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(TheSearchEnds) {
+BOOST_AUTO_TEST_CASE(SlotRequestsAreLimited) {
   PlaceSearch Search;
   size_t Asks = 0;
   while (mayAskMore(Search)) {
--- a/tests/unit/route_match_test.cpp
+++ b/tests/unit/route_match_test.cpp
@@ -1,4 +1,5 @@
-/** @file route_match_test.cpp Routes by host and prefix, tenants by key. */
+/** @file route_match_test.cpp Matching requests to routes by host and prefix,
+ * and to workspaces by API key. */
 // Labels: routes
 
 #include "forwarding/route_match_func.h"
@@ -9,8 +10,9 @@
 
 namespace {
 
-Route route(const std::string &Name, const std::string &Host,
-            const std::string &Prefix) {
+/** Makes a route. */
+Route makeRoute(const std::string &Name, const std::string &Host,
+                const std::string &Prefix) {
   Route One;
   One.Name = Name;
   One.Host = Host;
@@ -18,9 +20,9 @@
   return One;
 }
 
-/** Name of the matching route; empty for none. */
-std::string matched(const Document &Doc, std::string_view Host,
-                    std::string_view Target) {
+/** Gives the name of the matching route; empty: none. */
+std::string matchedName(const Document &Doc, std::string_view Host,
+                        std::string_view Target) {
   const Route *Found = matchRoute(makeRouteIndex(Doc), Host, Target);
   return Found == nullptr ? "" : Found->Name;
 }
@@ -29,29 +31,29 @@
 
 BOOST_AUTO_TEST_CASE(TheLongestPrefixOfTheHostWins) {
   Document Doc;
-  Doc.Routes = {route("short", "a.example", "/x/"),
-                route("long", "a.example", "/x/y/"),
-                route("other", "b.example", "/x/y/z/")};
-  BOOST_TEST(matched(Doc, "a.example", "/x/y/z/1") == "long");
-  BOOST_TEST(matched(Doc, "a.example", "/x/1") == "short");
-  BOOST_TEST(matched(Doc, "a.example", "/x").empty());
-  BOOST_TEST(matched(Doc, "c.example", "/x/y/").empty());
+  Doc.Routes = {makeRoute("short", "a.example", "/x/"),
+                makeRoute("long", "a.example", "/x/y/"),
+                makeRoute("other", "b.example", "/x/y/z/")};
+  BOOST_TEST(matchedName(Doc, "a.example", "/x/y/z/1") == "long");
+  BOOST_TEST(matchedName(Doc, "a.example", "/x/1") == "short");
+  BOOST_TEST(matchedName(Doc, "a.example", "/x").empty());
+  BOOST_TEST(matchedName(Doc, "c.example", "/x/y/").empty());
 }
 
-BOOST_AUTO_TEST_CASE(HostsCountInAnyCaseAndWithAPort) {
+BOOST_AUTO_TEST_CASE(HostsMatchInAnyCaseAndWithAPort) {
   Document Doc;
-  Doc.Routes = {route("r", "A.example", "/x/")};
-  BOOST_TEST(matched(Doc, " a.EXAMPLE:8080 ", "/x/") == "r");
+  Doc.Routes = {makeRoute("r", "A.example", "/x/")};
+  BOOST_TEST(matchedName(Doc, " a.EXAMPLE:8080 ", "/x/") == "r");
 }
 
-BOOST_AUTO_TEST_CASE(AQueryIsNoPartOfThePath) {
+BOOST_AUTO_TEST_CASE(TheQueryIsIgnored) {
   Document Doc;
-  Doc.Routes = {route("r", "a", "/x/")};
-  BOOST_TEST(matched(Doc, "a", "/y?next=/x/").empty());
-  BOOST_TEST(matched(Doc, "a", "/x/?q=1") == "r");
+  Doc.Routes = {makeRoute("r", "a", "/x/")};
+  BOOST_TEST(matchedName(Doc, "a", "/y?next=/x/").empty());
+  BOOST_TEST(matchedName(Doc, "a", "/x/?q=1") == "r");
 }
 
-BOOST_AUTO_TEST_CASE(KeysNameTheirTenant) {
+BOOST_AUTO_TEST_CASE(KeysIdentifyTheirWorkspace) {
   Document Doc;
   Tenant One;
   One.Name.Value = "t";
--- a/tests/unit/server_rate_test.cpp
+++ b/tests/unit/server_rate_test.cpp
@@ -18,17 +18,19 @@
 
 namespace {
 
-constexpr TimePoint Begin{std::chrono::hours(1)};
+constexpr TimePoint Start{std::chrono::hours(1)};
+/** Window in which a back end enforces its rate limit. */
 constexpr Millis Window{4000};
 constexpr Millis Step{20};
-/** Time over which entries send as fast as they may. */
+/** Time for which entries send as fast as the limit allows. */
 constexpr Millis Length{20000};
 
-/** Requests that a back end with such a limit bears in a window. */
-double mostInWindow(double PerSecond) { return 1.5 * PerSecond * 4 + 5; }
+/** Gives the number of requests that a back end with a rate limit accepts
+ * within a window. */
+double maxInWindow(double PerSecond) { return 1.5 * PerSecond * 4 + 5; }
 
-/** Most events in any window. */
-size_t mostWithin(const std::vector<TimePoint> &Times, Millis Long = Window) {
+/** Gives the largest number of requests within any window of a length. */
+size_t maxWithin(const std::vector<TimePoint> &Times, Millis Long = Window) {
   size_t Most = 0;
   for (auto it = Times.begin(); it != Times.end(); ++it)
     Most = std::max(
@@ -37,10 +39,11 @@
   return Most;
 }
 
-/** Entries that send to one plain back end, or to a worker whose agent is
+/** Entries that send to one plain back end, or to one worker whose agent is
  * silent. */
-struct Entries {
-  Entries(size_t Count, bool Worker, double ColdPerSecond = 0) : Pools(Count) {
+struct EntriesFixture {
+  EntriesFixture(size_t Count, bool Worker, double ColdPerSecond = 0)
+      : Pools(Count) {
     Document Doc;
     Service Kind;
     Kind.Name.Value = "s";
@@ -61,13 +64,13 @@
     for (size_t n = 0; n < Count; ++n) {
       Pools[n].Options.Self = Names[n];
       Pools[n].Random += n;
-      poolFollows(Pools[n], Shared, Begin, Begin);
+      poolFollows(Pools[n], Shared, Start, Start);
     }
-    see(0, Count);
+    connect(0, Count);
   }
 
-  /** Lets some entries see each other and nobody else. */
-  void see(size_t First, size_t End) {
+  /** Makes some entries know of each other and of no others. */
+  void connect(size_t First, size_t End) {
     for (size_t n = First; n < End; ++n) {
       Pools[n].Sharers.assign(Names.begin() + static_cast<ptrdiff_t>(First),
                               Names.begin() + static_cast<ptrdiff_t>(End));
@@ -75,6 +78,7 @@
     }
   }
 
+  /** Sends a request of one entry, if its share of the limit allows it. */
   bool send(size_t n, TimePoint Now) {
     ServerNeeds Needs;
     Needs.Service.Value = "s";
@@ -87,12 +91,13 @@
     return true;
   }
 
-  /** All send as fast as they may; gives when requests were sent. */
+  /** Sends requests of all entries as fast as the limit allows, and gives when
+   * they were sent. */
   std::vector<TimePoint> sendAll(std::optional<double> PerSecond) {
     for (ServerPool &One : Pools)
-      rateHeard(One, Id, PerSecond, Begin, Begin);
+      rateHeard(One, Id, PerSecond, Start, Start);
     std::vector<TimePoint> Times;
-    for (TimePoint Now = Begin; Now < Begin + Length; Now += Step)
+    for (TimePoint Now = Start; Now < Start + Length; Now += Step)
       for (size_t n = 0; n < Pools.size(); ++n)
         for (int Tries = 0; Tries < 100 && send(n, Now); ++Tries)
           Times.push_back(Now);
@@ -109,77 +114,78 @@
 
 } // namespace
 
-// Guards against entries that each round their part of a small limit up.
-BOOST_AUTO_TEST_CASE(EntriesKeepALimitTogetherWhateverTheirNumber) {
+// Guards against entries that each round up their share of a low limit.
+BOOST_AUTO_TEST_CASE(AnyNumberOfEntriesTogetherKeepsALimit) {
   for (const bool Worker : {false, true})
     for (const size_t Count : {1U, 2U, 8U, 30U, 43U})
       for (const double PerSecond : Limits) {
         BOOST_TEST_CONTEXT(Count << " entries, " << PerSecond << " a second"
                                  << (Worker ? ", past an agent" : "")) {
-          const auto Times = Entries(Count, Worker).sendAll(PerSecond);
-          BOOST_TEST(mostWithin(Times) <= mostInWindow(PerSecond));
-          // Sooner or later somebody finds out whether the limit holds.
+          const auto Times = EntriesFixture(Count, Worker).sendAll(PerSecond);
+          BOOST_TEST(maxWithin(Times) <= maxInWindow(PerSecond));
+          // Some entry eventually checks whether the limit still holds.
           BOOST_TEST(!Times.empty());
         }
       }
 }
 
-// Guards against two halves of a fleet that both use up a limit.
-BOOST_AUTO_TEST_CASE(HalvesThatDoNotSeeEachOtherKeepALimit) {
+// Guards against two halves of a partitioned fleet that each use a whole limit.
+BOOST_AUTO_TEST_CASE(APartitionedFleetKeepsALimit) {
   for (const double PerSecond : {1.8, 2.7, 40.0}) {
-    Entries All(8, false);
-    All.see(0, 4);
-    All.see(4, 8);
-    BOOST_TEST(mostWithin(All.sendAll(PerSecond)) <= mostInWindow(PerSecond));
+    EntriesFixture All(8, false);
+    All.connect(0, 4);
+    All.connect(4, 8);
+    BOOST_TEST(maxWithin(All.sendAll(PerSecond)) <= maxInWindow(PerSecond));
   }
 }
 
-// Guards against entries that each send one request a second to a cold back
-// end, however many they are.
+// Guards against entries that each send one request per second to a cold back
+// end regardless of their number.
 BOOST_AUTO_TEST_CASE(EntriesKeepTheRateOfAColdBackEndTogether) {
   for (const size_t Count : {1U, 8U, 43U, 59U})
     for (const double PerSecond : {2.0, 8.0, 14.0, 36.0}) {
-      const auto Times = Entries(Count, true, PerSecond).sendAll({});
-      BOOST_TEST(static_cast<double>(mostWithin(Times, Millis(1000))) <=
+      const auto Times = EntriesFixture(Count, true, PerSecond).sendAll({});
+      BOOST_TEST(static_cast<double>(maxWithin(Times, Millis(1000))) <=
                  1.5 * PerSecond + 5);
       BOOST_TEST(!Times.empty());
     }
 }
 
-BOOST_AUTO_TEST_CASE(APartOfALimitIsUsed) {
-  const auto Times = Entries(8, false).sendAll(2.7);
+BOOST_AUTO_TEST_CASE(EntriesTogetherUseMostOfALimit) {
+  const auto Times = EntriesFixture(8, false).sendAll(2.7);
   const double Seconds = static_cast<double>(Length.count()) / 1000;
   BOOST_TEST(static_cast<double>(Times.size()) >= 0.6 * 2.7 * Seconds);
 }
 
-// Guards against a limit that is lifted by an answer to a request that was sent
-// before the limit was named, and comes after it.
-BOOST_AUTO_TEST_CASE(AnOvertakenAnswerLiftsNoLimit) {
+// Guards against a late answer that lifts a limit: its request was sent before
+// the limit was stated.
+BOOST_AUTO_TEST_CASE(ALateAnswerDoesNotLiftALimit) {
   ServerRate Rate;
-  BOOST_CHECK(rateNamed(Rate, 2.7, Begin) == RateChange::Set);
-  BOOST_CHECK(rateNotNamed(Rate, Begin - Millis(1)) == RateChange::None);
+  BOOST_CHECK(rateNamed(Rate, 2.7, Start) == RateChange::Set);
+  BOOST_CHECK(rateNotNamed(Rate, Start - Millis(1)) == RateChange::None);
   BOOST_TEST(Rate.PerSecond.has_value());
-  BOOST_CHECK(rateNotNamed(Rate, Begin) == RateChange::Lifted);
+  BOOST_CHECK(rateNotNamed(Rate, Start) == RateChange::Lifted);
   BOOST_TEST(!Rate.PerSecond.has_value());
-  // Old news of a peer sets it no more.
-  BOOST_CHECK(rateNamed(Rate, 2.7, Begin - Millis(1)) == RateChange::None);
+  // An older notice of a peer does not set it again.
+  BOOST_CHECK(rateNamed(Rate, 2.7, Start - Millis(1)) == RateChange::None);
 }
 
-// Guards against an entry without a part that never learns of a limit's end.
-BOOST_AUTO_TEST_CASE(AnEntryWithoutAPartHearsThatALimitWasLifted) {
-  Entries All(30, false);
+// Guards against an entry without a share of a limit that does not learn that
+// the limit was lifted.
+BOOST_AUTO_TEST_CASE(AnEntryWithoutAShareLearnsThatALimitWasLifted) {
+  EntriesFixture All(30, false);
   for (ServerPool &One : All.Pools)
-    rateHeard(One, All.Id, 0.3, Begin, Begin);
-  const TimePoint Now = Begin + Millis(1000);
-  size_t Waiting = 0;
-  while (Waiting < All.Pools.size() && All.send(Waiting, Now))
-    ++Waiting;
-  BOOST_REQUIRE(Waiting < All.Pools.size());
-  rateTold(All.Pools[Waiting], {{}, All.Id, std::nullopt, 500}, Now);
-  BOOST_TEST(All.send(Waiting, Now));
+    rateHeard(One, All.Id, 0.3, Start, Start);
+  const TimePoint Now = Start + Millis(1000);
+  size_t WithoutShare = 0;
+  while (WithoutShare < All.Pools.size() && All.send(WithoutShare, Now))
+    ++WithoutShare;
+  BOOST_REQUIRE(WithoutShare < All.Pools.size());
+  rateTold(All.Pools[WithoutShare], {{}, All.Id, std::nullopt, 500}, Now);
+  BOOST_TEST(All.send(WithoutShare, Now));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyDecimalNumbersAreLimits) {
+BOOST_AUTO_TEST_CASE(OnlyDecimalNumbersAreParsedAsLimits) {
   const StoreWire Wire;
   BOOST_TEST(Wire.rateLimitOf("2.7").value() == 2.7);
   BOOST_TEST(Wire.rateLimitOf("0").value() == 0);
