--- a/packages/core/src/forwarding/fleet_snapshot.cpp
+++ b/packages/core/src/forwarding/fleet_snapshot.cpp
@@ -33,15 +33,15 @@
 
 /** Makes a report from the load that an agent last sent on its link. */
 AgentNews makeReport(const PeerLink &Link) {
-  AgentNews News;
-  News.Server.Value = Link.Peer.Name.Value;
-  News.State = Link.Load.State;
-  News.Busy = Link.Load.Running + Link.Load.Waiting;
-  News.Weights = Link.Load.Weights;
-  News.PerSecond = Link.Load.PerSecond;
-  News.Fresh = Link.Load.State != WorkerState::Leaving;
-  News.Link = Link.Link;
-  return News;
+  AgentNews Report;
+  Report.Server.Value = Link.Peer.Name.Value;
+  Report.State = Link.Load.State;
+  Report.Busy = Link.Load.Running + Link.Load.Waiting;
+  Report.Weights = Link.Load.Weights;
+  Report.PerSecond = Link.Load.PerSecond;
+  Report.Fresh = Link.Load.State != WorkerState::Leaving;
+  Report.Link = Link.Link;
+  return Report;
 }
 
 } // namespace
@@ -78,30 +78,30 @@
   return Snapshot;
 }
 
-std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Told) {
-  std::vector<AgentNews> News;
+std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Passed) {
+  std::vector<AgentNews> Reports;
   std::map<HostName, TimePoint> Heard;
   for (const auto &[Id, Link] : Entry.Fleet.Links) {
     if (Link.State != LinkState::Ready || Link.Peer.Sender != Role::Agent ||
         Link.HeardHeartbeat == 0)
       continue;
     Heard[Link.Peer.Name] = Link.LoadAt;
-    const auto it = Told.LoadAt.find(Link.Peer.Name);
-    if (it == Told.LoadAt.end() || it->second != Link.LoadAt)
-      News.push_back(makeReport(Link));
+    const auto it = Passed.LoadAt.find(Link.Peer.Name);
+    if (it == Passed.LoadAt.end() || it->second != Link.LoadAt)
+      Reports.push_back(makeReport(Link));
   }
-  for (const auto &[Name, LoadAt] : Told.LoadAt)
+  for (const auto &[Name, LoadAt] : Passed.LoadAt)
     if (!Heard.contains(Name))
-      News.push_back({Address{Name.Value},
-                      WorkerState::Empty,
-                      0,
-                      {},
-                      false,
-                      {},
-                      Entry.Fleet.Silent.contains(Name),
-                      std::nullopt});
-  Told.LoadAt = std::move(Heard);
-  return News;
+      Reports.push_back({Address{Name.Value},
+                         WorkerState::Empty,
+                         0,
+                         {},
+                         false,
+                         {},
+                         Entry.Fleet.Silent.contains(Name),
+                         std::nullopt});
+  Passed.LoadAt = std::move(Heard);
+  return Reports;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/fleet_snapshot_func.h
+++ b/packages/core/src/forwarding/fleet_snapshot_func.h
@@ -29,10 +29,10 @@
  * Gives the reports that agents sent since the last call, and a report for each
  * agent that is not connected any more.
  * @param Entry The state.
- * @param Told Reports that were already passed on; updated.
+ * @param Passed Reports that were already passed on; updated.
  * @return The new reports.
  */
-std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Told);
+std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Passed);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/rate_share.cpp
+++ b/packages/core/src/forwarding/rate_share.cpp
@@ -136,14 +136,14 @@
                    : rateNotNamed(View->Rate, SentAt);
 }
 
-RateChange rateTold(ServerPool &Pool, const RateHeard &Told, TimePoint Now) {
-  ServerView *View = findServer(Pool, Told.Server);
+RateChange rateTold(ServerPool &Pool, const RateHeard &Notice, TimePoint Now) {
+  ServerView *View = findServer(Pool, Notice.Server);
   if (View == nullptr)
     return RateChange::None;
   const Millis Age(static_cast<int64_t>(
-      std::min<uint64_t>(Told.AgeMillis, MaxNoticeAge.count())));
-  return Told.PerSecond ? rateNamed(View->Rate, *Told.PerSecond, Now - Age)
-                        : rateNotNamed(View->Rate, Now - Age);
+      std::min<uint64_t>(Notice.AgeMillis, MaxNoticeAge.count())));
+  return Notice.PerSecond ? rateNamed(View->Rate, *Notice.PerSecond, Now - Age)
+                          : rateNotNamed(View->Rate, Now - Age);
 }
 
 void rateRefused(ServerPool &Pool, const InstanceId &Id, Duration Wait,
--- a/packages/core/src/forwarding/rate_share_func.h
+++ b/packages/core/src/forwarding/rate_share_func.h
@@ -60,11 +60,11 @@
 /**
  * Records a rate limit that another entry learned from an answer.
  * @param Pool State to change.
- * @param Told The notice of the other entry.
+ * @param Notice The notice of the other entry.
  * @param Now Current time.
  * @return How the known limit changed; a change must be passed on.
  */
-RateChange rateTold(ServerPool &Pool, const RateHeard &Told, TimePoint Now);
+RateChange rateTold(ServerPool &Pool, const RateHeard &Notice, TimePoint Now);
 
 /**
  * Records that an agent refused a slot because of its back end's rate limit.
--- a/packages/core/src/forwarding/server_listing.cpp
+++ b/packages/core/src/forwarding/server_listing.cpp
@@ -80,8 +80,8 @@
   updateWantedWeights(Pool, PublishedAfter);
 }
 
-void listingAway(ServerPool &Pool, bool Away, TimePoint Now) {
-  if (Away)
+void listingAway(ServerPool &Pool, bool Unavailable, TimePoint Now) {
+  if (Unavailable)
     Pool.KeepUnlistedUntil = TimePoint::max();
   else if (Pool.KeepUnlistedUntil == TimePoint::max())
     Pool.KeepUnlistedUntil = Now + Pool.Options.LapseGrace;
--- a/packages/core/src/forwarding/server_pool.cpp
+++ b/packages/core/src/forwarding/server_pool.cpp
@@ -254,26 +254,27 @@
 
 } // namespace
 
-void agentTold(ServerPool &Pool, const AgentNews &News, TimePoint Now) {
+void agentTold(ServerPool &Pool, const AgentNews &Report, TimePoint Now) {
   for (auto &[Id, View] : Pool.Servers) {
-    if (View.Listed.At != News.Server || View.Vanished)
+    if (View.Listed.At != Report.Server || View.Vanished)
       continue;
-    if (!News.Fresh && hasAgent(View))
+    if (!Report.Fresh && hasAgent(View))
       View.SilentSince = Now;
     // An agent that restarted reports no limit because it has not learned of
     // it yet, so a report on a new link lifts none.
-    const bool Lifted = !News.PerSecond && View.Agent &&
-                        View.Agent->PerSecond && View.Agent->Link == News.Link;
-    View.Agent = News;
-    if (!News.Fresh) {
-      recordAgentLinkEnd(View, News.Silent, Now);
+    const bool Lifted = !Report.PerSecond && View.Agent &&
+                        View.Agent->PerSecond &&
+                        View.Agent->Link == Report.Link;
+    View.Agent = Report;
+    if (!Report.Fresh) {
+      recordAgentLinkEnd(View, Report.Silent, Now);
       continue;
     }
     View.ProbePendingSince.reset();
-    recordReportedRequests(View, News.Busy, Now);
-    View.Weights = News.Weights;
-    if (News.PerSecond)
-      rateNamed(View.Rate, *News.PerSecond, Now);
+    recordReportedRequests(View, Report.Busy, Now);
+    View.Weights = Report.Weights;
+    if (Report.PerSecond)
+      rateNamed(View.Rate, *Report.PerSecond, Now);
     if (Lifted) {
       rateNotNamed(View.Rate, Now);
       View.NoSlotUntil = Now;
@@ -375,18 +376,18 @@
 }
 
 Duration usualFirstPart(const ServerPool &Pool, const ServiceName &Service,
-                        Duration Otherwise) {
+                        Duration Default) {
   const auto it = Pool.FirstPartTimes.find(Service);
   return it == Pool.FirstPartTimes.end()
-             ? Otherwise
+             ? Default
              : firstPartAfter(it->second, Duration{0});
 }
 
-void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Reading) {
+void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Backlog) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
-  View->PrefillBacklog = Reading;
+  View->PrefillBacklog = Backlog;
   View->MissedReplies = 0;
 }
 
@@ -395,7 +396,7 @@
   return View == nullptr ? Digest{} : View->Weights;
 }
 
-void attemptClosed(ServerPool &Pool, const InstanceId &Id, AttemptEnd How,
+void attemptClosed(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
                    Duration Took, TimePoint Now) {
   ServerView *Found = findServer(Pool, Id);
   if (Found == nullptr)
@@ -403,13 +404,13 @@
   ServerView &View = *Found;
   if (View.Open > 0)
     --View.Open;
-  switch (How) {
+  switch (End) {
   case AttemptEnd::Answered:
   case AttemptEnd::Error: {
     View.Failures = 0;
-    const double Failed = How == AttemptEnd::Error ? 1 : 0;
+    const double Failed = End == AttemptEnd::Error ? 1 : 0;
     View.ErrorShare += ErrorWeight * (Failed - View.ErrorShare);
-    if (How == AttemptEnd::Error)
+    if (End == AttemptEnd::Error)
       return;
     updateAnswerTime(Pool.UsualAnswerTime, View.Listed.Service, Took);
     return;
@@ -421,7 +422,7 @@
     View.ErrorShare += ErrorWeight * (1 - View.ErrorShare);
     // A single broken answer may be due to the request or the network; a back
     // end that cannot be reached is avoided at once.
-    if (How == AttemptEnd::Unreached || View.Failures > 1)
+    if (End == AttemptEnd::Unreached || View.Failures > 1)
       View.AvoidUntil = Now + FirstAvoidTime * (1U << Doublings);
     return;
   }
--- a/packages/core/src/forwarding/server_pool_func.h
+++ b/packages/core/src/forwarding/server_pool_func.h
@@ -23,18 +23,18 @@
  * the registrations of running servers expire, so servers that are missing from
  * the list are used until some time after the outage.
  * @param Pool State to change.
- * @param Away Whether no process can read the list at present.
+ * @param Unavailable Whether no process can read the list at present.
  * @param Now Current time.
  */
-void listingAway(ServerPool &Pool, bool Away, TimePoint Now);
+void listingAway(ServerPool &Pool, bool Unavailable, TimePoint Now);
 
 /**
  * Applies an agent's report to the state of its back end.
  * @param Pool State to change.
- * @param News The report.
+ * @param Report The report.
  * @param Now Current time.
  */
-void agentTold(ServerPool &Pool, const AgentNews &News, TimePoint Now);
+void agentTold(ServerPool &Pool, const AgentNews &Report, TimePoint Now);
 
 /**
  * Chooses the back end for an attempt: the usable one with the lowest load.
@@ -164,11 +164,11 @@
  * Gives the time within which most answers of a service begin.
  * @param Pool The state.
  * @param Service Service that answers.
- * @param Otherwise Value to give before any answer was seen.
+ * @param Default Value to give before any answer was seen.
  * @return Time since the request was sent.
  */
 Duration usualFirstPart(const ServerPool &Pool, const ServiceName &Service,
-                        Duration Otherwise);
+                        Duration Default);
 
 /**
  * Gives the weights that a back end has loaded, as last reported.
@@ -183,19 +183,19 @@
  * request.
  * @param Pool State to change.
  * @param Id Instance of the back end.
- * @param Reading Time that its queued prompts take to prefill.
+ * @param Backlog Time that its queued prompts take to prefill.
  */
-void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Reading);
+void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Backlog);
 
 /**
  * Records the end of an attempt and what it shows of its back end.
  * @param Pool State to change.
  * @param Id Instance of the back end.
- * @param How How it ended.
- * @param Took How long it lasted.
+ * @param End How the attempt ended.
+ * @param Took End long it lasted.
  * @param Now Current time.
  */
-void attemptClosed(ServerPool &Pool, const InstanceId &Id, AttemptEnd How,
+void attemptClosed(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
                    Duration Took, TimePoint Now);
 
 /**
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -38,13 +38,13 @@
 
   /** Makes a listed worker with four slots. */
   static BackEndServer server(const std::string &Id) {
-    BackEndServer Server;
-    Server.Id.Value = Id;
-    Server.Service.Value = "llm";
-    Server.At.Value = Id + ":1";
-    Server.Slots = 4;
-    Server.Weights.Value = "m@1";
-    return Server;
+    BackEndServer Worker;
+    Worker.Id.Value = Id;
+    Worker.Service.Value = "llm";
+    Worker.At.Value = Id + ":1";
+    Worker.Slots = 4;
+    Worker.Weights.Value = "m@1";
+    return Worker;
   }
 
   /** Applies a heartbeat of a worker's agent. */
--- a/tests/unit/repeat_budget_test.cpp
+++ b/tests/unit/repeat_budget_test.cpp
@@ -13,9 +13,9 @@
 
 /** Makes a budget with a window of ten seconds. */
 RepeatBudget makeBudget(double Ratio, uint32_t Slack) {
-  RepeatBudget Budget;
-  Budget.Limits = {Ratio, Slack, Millis(10000)};
-  return Budget;
+  RepeatBudget Limiter;
+  Limiter.Limits = {Ratio, Slack, Millis(10000)};
+  return Limiter;
 }
 
 /** Takes all retries that are left, and gives their number. */
@@ -34,33 +34,33 @@
   // retries to the few that returned.
   uint32_t Sum = 0;
   for (int n = 0; n < 8; ++n) {
-    RepeatBudget Budget = makeBudget(0.2, 104);
-    Sum += takeAllRepeats(Budget, 8, TimePoint{});
+    RepeatBudget Limiter = makeBudget(0.2, 104);
+    Sum += takeAllRepeats(Limiter, 8, TimePoint{});
   }
   BOOST_TEST(Sum <= 104U);
   BOOST_TEST(Sum >= 50U);
 }
 
 BOOST_AUTO_TEST_CASE(FirstAttemptsEarnRetries) {
-  RepeatBudget Budget = makeBudget(0.2, 0);
-  BOOST_TEST(takeAllRepeats(Budget, 1, TimePoint{}) == 0U);
+  RepeatBudget Limiter = makeBudget(0.2, 0);
+  BOOST_TEST(takeAllRepeats(Limiter, 1, TimePoint{}) == 0U);
   for (int n = 0; n < 100; ++n)
-    countFirst(Budget, Service, TimePoint{});
-  BOOST_TEST(takeAllRepeats(Budget, 1, TimePoint{}) == 14U); // 0.7 x 0.2 x 100
+    countFirst(Limiter, Service, TimePoint{});
+  BOOST_TEST(takeAllRepeats(Limiter, 1, TimePoint{}) == 14U); // 0.7 x 0.2 x 100
 }
 
 BOOST_AUTO_TEST_CASE(TheWindowSlides) {
-  RepeatBudget Budget = makeBudget(0, 10);
+  RepeatBudget Limiter = makeBudget(0, 10);
   const TimePoint Start{};
-  BOOST_TEST(takeAllRepeats(Budget, 1, Start) == 7U);
-  BOOST_TEST(takeAllRepeats(Budget, 1, Start + Millis(9000)) == 0U);
-  BOOST_TEST(takeAllRepeats(Budget, 1, Start + Millis(10000)) == 7U);
-  BOOST_TEST(takeAllRepeats(Budget, 1, Start + Millis(500000)) == 7U);
+  BOOST_TEST(takeAllRepeats(Limiter, 1, Start) == 7U);
+  BOOST_TEST(takeAllRepeats(Limiter, 1, Start + Millis(9000)) == 0U);
+  BOOST_TEST(takeAllRepeats(Limiter, 1, Start + Millis(10000)) == 7U);
+  BOOST_TEST(takeAllRepeats(Limiter, 1, Start + Millis(500000)) == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(CheckingTheBudgetTakesNothing) {
-  RepeatBudget Budget = makeBudget(0, 10);
+  RepeatBudget Limiter = makeBudget(0, 10);
   for (int n = 0; n < 100; ++n)
-    BOOST_TEST(repeatsLeft(Budget, Service, 1, TimePoint{}));
-  BOOST_TEST(takeAllRepeats(Budget, 1, TimePoint{}) == 7U);
+    BOOST_TEST(repeatsLeft(Limiter, Service, 1, TimePoint{}));
+  BOOST_TEST(takeAllRepeats(Limiter, 1, TimePoint{}) == 7U);
 }
