--- a/packages/core/src/forwarding/caller_age.cpp
+++ b/packages/core/src/forwarding/caller_age.cpp
@@ -29,31 +29,32 @@
 
 } // namespace
 
-Duration callerAge(CallerHabits &Habits, const Route &Matched, Duration Left) {
+Duration callerAge(CallerHabits &Deadlines, const Route &Matched,
+                   Duration Left) {
   const Duration Told = Matched.Timeout.count() > 0
                             ? std::min<Duration>(Left, Matched.Timeout)
                             : Left;
   Duration &Longest =
-      Habits.LongestDeadline.try_emplace(Matched.Name, Told).first->second;
+      Deadlines.LongestDeadline.try_emplace(Matched.Name, Told).first->second;
   Longest = std::max(Told, Longest - Longest / DeadlineDecay);
   const auto Shortest =
       std::chrono::duration_cast<Duration>(Longest * ShortestDeadlineShare);
   return std::max(Shortest - Told, Duration{0});
 }
 
-Duration awayToBeKnown(const CallerHabits &Habits, const Route &Matched) {
-  const auto it = Habits.LongestDeadline.find(Matched.Name);
-  if (it == Habits.LongestDeadline.end())
+Duration awayToBeKnown(const CallerHabits &Deadlines, const Route &Matched) {
+  const auto it = Deadlines.LongestDeadline.find(Matched.Name);
+  if (it == Deadlines.LongestDeadline.end())
     return Duration{0};
   return std::chrono::duration_cast<Duration>(it->second *
                                               (1 - ShortestDeadlineShare));
 }
 
-void forgetOtherRoutes(CallerHabits &Habits, const Document &Doc) {
+void forgetOtherRoutes(CallerHabits &Deadlines, const Document &Doc) {
   std::set<std::string_view> Names;
   for (const Route &One : Doc.Routes)
     Names.insert(One.Name);
-  std::erase_if(Habits.LongestDeadline,
+  std::erase_if(Deadlines.LongestDeadline,
                 [&](const auto &Row) { return !Names.contains(Row.first); });
 }
 
--- a/packages/core/src/forwarding/caller_age_func.h
+++ b/packages/core/src/forwarding/caller_age_func.h
@@ -19,30 +19,31 @@
 /**
  * Estimates how long a caller has been retrying, and learns the deadlines with
  * which callers of the route start.
- * @param Habits State to change.
+ * @param Deadlines State to change.
  * @param Matched Route of the request.
  * @param Left Remaining time of the caller.
  * @return Lower bound of its age; 0 for a caller that may be new.
  */
-Duration callerAge(CallerHabits &Habits, const Route &Matched, Duration Left);
+Duration callerAge(CallerHabits &Deadlines, const Route &Matched,
+                   Duration Left);
 
 /**
  * Gives the shortest retry delay after which callerAge() recognizes a refused
  * caller. A caller that retries sooner would count as new and take the slot of
  * one that can still be on time, although it is late itself in any case.
- * @param Habits The state.
+ * @param Deadlines The state.
  * @param Matched Route of the request.
  * @return The delay; 0 where nothing is known.
  */
-Duration awayToBeKnown(const CallerHabits &Habits, const Route &Matched);
+Duration awayToBeKnown(const CallerHabits &Deadlines, const Route &Matched);
 
 /**
  * Removes the state of routes that a document does not have; route names change
  * between documents.
- * @param Habits State to change.
+ * @param Deadlines State to change.
  * @param Doc The document in force.
  */
-void forgetOtherRoutes(CallerHabits &Habits, const Document &Doc);
+void forgetOtherRoutes(CallerHabits &Deadlines, const Document &Doc);
 
 /**
  * Gives how long a request that has missed its target may wait for a slot that
--- a/packages/core/src/forwarding/server_pool.cpp
+++ b/packages/core/src/forwarding/server_pool.cpp
@@ -328,8 +328,8 @@
   ServerChoice Choice = chooseLowestScore(Pool, Needs, *Spec, false, Now);
   // Where all hosts seem unresponsive, this entry itself may be the one that
   // is cut off.
-  const bool First = Needs.Tried.empty() && Needs.Full.empty();
-  if (Choice.Candidates == 0 && First)
+  const bool FirstChoice = Needs.Tried.empty() && Needs.Full.empty();
+  if (Choice.Candidates == 0 && FirstChoice)
     Choice = chooseLowestScore(Pool, Needs, *Spec, true, Now);
   if (Choice.Server != nullptr)
     return Choice;
--- a/tests/unit/caller_age_test.cpp
+++ b/tests/unit/caller_age_test.cpp
@@ -18,19 +18,20 @@
 }
 
 /** Learns the deadlines of new callers, which differ by a sixth. */
-void learnDeadlines(CallerHabits &Habits, const Route &Matched) {
+void learnDeadlines(CallerHabits &Deadlines, const Route &Matched) {
   for (int n = 0; n < 100; ++n)
     BOOST_TEST(
-        callerAge(Habits, Matched, Millis(5100 + (n * 37) % 900)).count() == 0);
+        callerAge(Deadlines, Matched, Millis(5100 + (n * 37) % 900)).count() ==
+        0);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(ARetryingCallerHasAnAge) {
-  CallerHabits Habits;
+  CallerHabits Deadlines;
   const Route Matched = makeRoute();
-  learnDeadlines(Habits, Matched);
-  const Duration Age = callerAge(Habits, Matched, Millis(4000));
+  learnDeadlines(Deadlines, Matched);
+  const Duration Age = callerAge(Deadlines, Matched, Millis(4000));
   BOOST_TEST(toMillis(Age).count() > 500);
   BOOST_TEST(toMillis(Age).count() <= 2000);
 }
@@ -39,34 +40,34 @@
 // others look like retrying ones: no route keeps a request longer than its
 // timeout.
 BOOST_AUTO_TEST_CASE(ADeadlineBeyondTheTimeoutHasNoEffect) {
-  CallerHabits Habits;
+  CallerHabits Deadlines;
   const Route Matched = makeRoute();
-  callerAge(Habits, Matched, std::chrono::hours(1));
-  learnDeadlines(Habits, Matched);
+  callerAge(Deadlines, Matched, std::chrono::hours(1));
+  learnDeadlines(Deadlines, Matched);
 }
 
 // Guards against new callers that look old after the operator shortened the
 // timeout of a route, or after callers changed their deadlines.
 BOOST_AUTO_TEST_CASE(FormerDeadlinesAreForgotten) {
-  CallerHabits Habits;
+  CallerHabits Deadlines;
   const Route Matched = makeRoute();
-  learnDeadlines(Habits, Matched);
+  learnDeadlines(Deadlines, Matched);
   for (int n = 0; n < 500; ++n)
-    callerAge(Habits, Matched, Millis(2000));
-  BOOST_TEST(callerAge(Habits, Matched, Millis(2000)).count() == 0);
+    callerAge(Deadlines, Matched, Millis(2000));
+  BOOST_TEST(callerAge(Deadlines, Matched, Millis(2000)).count() == 0);
 }
 
 // Guards against a memory leak: routes get new names with each change of the
 // configuration.
 BOOST_AUTO_TEST_CASE(RemovedRoutesAreForgotten) {
-  CallerHabits Habits;
+  CallerHabits Deadlines;
   Document Doc;
   Doc.Routes.push_back(makeRoute());
-  learnDeadlines(Habits, Doc.Routes.front());
-  forgetOtherRoutes(Habits, Doc);
-  BOOST_TEST(Habits.LongestDeadline.size() == 1U);
-  forgetOtherRoutes(Habits, Document{});
-  BOOST_TEST(Habits.LongestDeadline.empty());
+  learnDeadlines(Deadlines, Doc.Routes.front());
+  forgetOtherRoutes(Deadlines, Doc);
+  BOOST_TEST(Deadlines.LongestDeadline.size() == 1U);
+  forgetOtherRoutes(Deadlines, Document{});
+  BOOST_TEST(Deadlines.LongestDeadline.empty());
 }
 
 BOOST_AUTO_TEST_CASE(ALateRequestKeepsTimeForARetry) {
@@ -80,11 +81,12 @@
   // refused ones retried after 0.2 s and counted as new, since the deadlines of
   // new callers differ by a sixth. They were late already, and others that
   // could still be on time got no slot.
-  CallerHabits Habits;
+  CallerHabits Deadlines;
   const Route Matched = makeRoute();
-  BOOST_TEST((awayToBeKnown(Habits, Matched) == Duration{0}));
-  learnDeadlines(Habits, Matched);
-  const Duration Delay = awayToBeKnown(Habits, Matched);
+  BOOST_TEST((awayToBeKnown(Deadlines, Matched) == Duration{0}));
+  learnDeadlines(Deadlines, Matched);
+  const Duration Delay = awayToBeKnown(Deadlines, Matched);
   BOOST_TEST((Delay > Millis(1000) && Delay < Millis(1300)));
-  BOOST_TEST((callerAge(Habits, Matched, Millis(5900) - Delay) > Duration{0}));
+  BOOST_TEST(
+      (callerAge(Deadlines, Matched, Millis(5900) - Delay) > Duration{0}));
 }
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -19,8 +19,8 @@
 /** A pool of two model workers whose agents are linked to this entry. */
 struct HostsFixture {
   HostsFixture() {
-    From.Kind = RouteKind::Stream;
-    From.Target = Millis(400);
+    TestRoute.Kind = RouteKind::Stream;
+    TestRoute.Target = Millis(400);
     Service Model;
     Model.Name.Value = "llm";
     Model.Model.Value = "m";
@@ -63,7 +63,7 @@
   std::string choose() {
     ServerNeeds Needs;
     Needs.Service.Value = "llm";
-    Needs.From = &From;
+    Needs.From = &TestRoute;
     const ServerChoice Choice = chooseServer(Pool, Needs, Now);
     return Choice.Server == nullptr ? "" : Choice.Server->Listed.Id.Value;
   }
@@ -81,7 +81,7 @@
     return standsStill(Pool.Servers.at({Id}), Now);
   }
 
-  Route From;
+  Route TestRoute;
   ServerPool Pool;
   TimePoint Now{std::chrono::hours(1)};
 };
--- a/tests/unit/route_match_test.cpp
+++ b/tests/unit/route_match_test.cpp
@@ -53,7 +53,7 @@
   BOOST_TEST(matchedName(Doc, "a", "/x/?q=1") == "r");
 }
 
-BOOST_AUTO_TEST_CASE(KeysIdentifyTheirWorkspace) {
+BOOST_AUTO_TEST_CASE(KeysNameTheirTenant) {
   Document Doc;
   Tenant One;
   One.Name.Value = "t";
--- a/tests/unit/server_pool_test.cpp
+++ b/tests/unit/server_pool_test.cpp
@@ -16,8 +16,8 @@
 /** A pool of three model workers and three plain back ends in two domains. */
 struct PoolFixture {
   PoolFixture() {
-    From.Target = Millis(400);
-    From.Kind = RouteKind::Stream;
+    TestRoute.Target = Millis(400);
+    TestRoute.Kind = RouteKind::Stream;
     Service Model;
     Model.Name.Value = "llm";
     Model.Model.Value = "m";
@@ -31,7 +31,7 @@
     }
     setWantedVersion("1");
     State.Options.Domain.Value = "d0";
-    applyDocument();
+    publishDocument();
   }
 
   /** Makes a listed back end with four slots, in domain d0 for an even n, else
@@ -57,11 +57,11 @@
     Doc.Models = {Wanted};
   }
 
-  /** Applies the document as published now. */
-  void applyDocument() { applyDocumentSince(Now); }
+  /** Applies the document to the pool, as published now. */
+  void publishDocument() { publishDocumentSince(Now); }
 
-  /** Applies the document with the earliest time of its publication. */
-  void applyDocumentSince(std::optional<TimePoint> PublishedAfter) {
+  /** Applies the document to the pool, as published after a time. */
+  void publishDocumentSince(std::optional<TimePoint> PublishedAfter) {
     poolFollows(State, std::make_shared<const Document>(Doc), PublishedAfter,
                 Now);
   }
@@ -70,7 +70,7 @@
   ServerNeeds needs(const std::string &Service) const {
     ServerNeeds Needs;
     Needs.Service.Value = Service;
-    Needs.From = &From;
+    Needs.From = &TestRoute;
     return Needs;
   }
 
@@ -108,7 +108,7 @@
   }
 
   Document Doc;
-  Route From;
+  Route TestRoute;
   ServerPool State;
   TimePoint Now{std::chrono::hours(1)};
 };
@@ -137,14 +137,14 @@
 BOOST_AUTO_TEST_CASE(ADrainingBackEndIsNotChosen) {
   PoolFixture Fixture;
   Fixture.Doc.Servers[1].Draining = true; // p0
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(Fixture.countChoices("plain")["p0"] == 0);
 }
 
 BOOST_AUTO_TEST_CASE(AnEvacuatedDomainIsNotChosen) {
   PoolFixture Fixture;
   Fixture.Doc.DomainsOut.insert({"d0"});
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   const auto Got = Fixture.countChoices("plain");
   BOOST_TEST(Got.size() == 1U);
   BOOST_TEST(Got.contains("p1"));
@@ -157,7 +157,7 @@
   BOOST_TEST(
       mayStillUse(Fixture.State, {"p0"}, Fixture.needs("plain"), Fixture.Now));
   Fixture.Doc.DomainsOut.insert({"d0"});
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(
       !mayStillUse(Fixture.State, {"p0"}, Fixture.needs("plain"), Fixture.Now));
   BOOST_TEST(
@@ -169,7 +169,7 @@
   attemptOpened(Fixture.State, {"p0"});
   std::erase_if(Fixture.Doc.Servers,
                 [](const auto &Row) { return Row.Id.Value == "p0"; });
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(Fixture.countChoices("plain")["p0"] == 0);
 }
 
@@ -183,21 +183,21 @@
   listingAway(Fixture.State, false, Fixture.Now);
   const std::vector<BackEndServer> All = Fixture.Doc.Servers;
   Fixture.Doc.Servers.clear();
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(!Fixture.choose("plain").empty());
   Fixture.Now += Millis(2000);
   BOOST_TEST(!Fixture.choose("plain").empty());
   Fixture.Now += Millis(300); // Still unlisted: removed.
   BOOST_TEST(Fixture.choose("plain").empty());
   Fixture.Doc.Servers = All;
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(!Fixture.choose("plain").empty());
 }
 
 BOOST_AUTO_TEST_CASE(FormerWeightsExpire) {
   PoolFixture Fixture;
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(!Fixture.choose("llm").empty());
   BOOST_TEST(versionToDemand(Fixture.State, {"m1"}, Fixture.Now).empty());
   Fixture.Now += Fixture.State.Options.FormerWeightsFor;
@@ -214,10 +214,10 @@
   // weights from two versions ago, and requests were refused for six seconds.
   PoolFixture Fixture;
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   Fixture.Now += Millis(2000);
   Fixture.setWantedVersion("3");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(!Fixture.choose("llm").empty());
   Fixture.Now += Fixture.State.Options.FormerWeightsFor - Millis(2000);
   BOOST_TEST(Fixture.choose("llm").empty());
@@ -237,7 +237,7 @@
   Restarted.setWantedVersion("2");
   ServerPool Fresh;
   Restarted.State = Fresh;
-  Restarted.applyDocumentSince(std::nullopt);
+  Restarted.publishDocumentSince(std::nullopt);
   BOOST_TEST(Restarted.choose("llm").empty());
 }
 
@@ -248,7 +248,7 @@
   PoolFixture Fixture;
   Fixture.setWantedVersion("2");
   Fixture.Now += Millis(4900);
-  Fixture.applyDocumentSince(Fixture.Now - Millis(4900));
+  Fixture.publishDocumentSince(Fixture.Now - Millis(4900));
   BOOST_TEST(!Fixture.choose("llm").empty());
   Fixture.Now += Millis(100);
   BOOST_TEST(Fixture.choose("llm").empty());
@@ -258,7 +258,7 @@
   PoolFixture Fixture;
   Fixture.Doc.Servers[0].Weights.Value = "m@2"; // m0
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   ServerNeeds Needs = Fixture.needs("llm");
   Needs.Weights.Value = "m@2";
   BOOST_TEST(Fixture.chooseInstance(Needs) == "m0");
@@ -272,7 +272,7 @@
   ServerNeeds Needs = Fixture.needs("llm");
   Needs.Weights.Value = "m@1";
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   BOOST_TEST(!Fixture.chooseInstance(Needs).empty());
   Fixture.Now += Fixture.State.Options.FormerWeightsFor;
   BOOST_TEST(Fixture.chooseInstance(Needs).empty());
@@ -286,7 +286,7 @@
   const Digest SentOn{"m@1"};
   BOOST_TEST(!mayBeginUntil(Fixture.State, {"m1"}, SentOn));
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   const auto Until = mayBeginUntil(Fixture.State, {"m1"}, SentOn);
   BOOST_REQUIRE(Until);
   BOOST_TEST((*Until > Published + Fixture.State.Options.FormerWeightsFor));
@@ -308,7 +308,7 @@
   // started them when its host resumed.
   PoolFixture Fixture;
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   AgentNews News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
   agentTold(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
@@ -373,7 +373,7 @@
     Row.ColdFor = Millis(3000);
   for (BackEndServer &Row : Fixture.Doc.Servers)
     Row.Slots = 100;
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   int Sent = 0;
   for (int n = 0; n < 50; ++n) {
     const std::string Id = Fixture.choose("llm");
@@ -395,7 +395,7 @@
   PoolFixture Fixture;
   for (BackEndServer &Row : Fixture.Doc.Servers)
     Row.ColdFor = Millis(3000);
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   for (int n = 0; n < 50; ++n) {
     const std::string Id = Fixture.choose("llm");
     BOOST_TEST_REQUIRE(!Id.empty());
@@ -444,11 +444,11 @@
   BOOST_TEST(!Fixture.choose("llm").empty());
 }
 
-BOOST_AUTO_TEST_CASE(RoutesAndWorkspacesAreBoundToTheirRegions) {
+BOOST_AUTO_TEST_CASE(RegionsBindRouteAndTenant) {
   PoolFixture Fixture;
   Fixture.Doc.RegionOf = {{{"d0"}, {"r0"}}, {{"d1"}, {"r1"}}};
-  Fixture.applyDocument();
-  Fixture.From.Regions = {{"r1"}};
+  Fixture.publishDocument();
+  Fixture.TestRoute.Regions = {{"r1"}};
   BOOST_TEST(Fixture.countChoices("plain").size() == 1U);
   BOOST_TEST(Fixture.choose("plain") == "p1");
   Tenant Owner;
@@ -482,7 +482,7 @@
         PoolFixture::server("p" + std::to_string(n), "plain", n, ""));
     Fixture.Doc.Servers.back().Slots = 20;
   }
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   loadTold(Fixture.State, {"p0"}, 5, Fixture.Now);
   loadTold(Fixture.State, {"p1"}, 0, Fixture.Now);
   BOOST_TEST(Fixture.choose("plain") == "p0");
@@ -498,7 +498,7 @@
   const ServiceName Plain{"plain"};
   BOOST_TEST(connectionsToKeep(Fixture.State, Plain) == 24U); // Limit unknown.
   Fixture.Doc.Services.back().MaxConnections = 110;
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   Fixture.State.Entries = 9;
   BOOST_TEST(connectionsToKeep(Fixture.State, Plain) == 6U);
   Fixture.State.Entries = 1;
@@ -609,11 +609,11 @@
   PoolFixture Fixture;
   Fixture.Doc.Servers = {PoolFixture::server("m0", "llm", 0, "m@1")};
   Fixture.setWantedVersion("2");
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   AgentNews News{Address{"m0:1"}, WorkerState::Empty, 0, {}, true, {}};
   agentTold(Fixture.State, News, Fixture.Now);
   Fixture.Doc.Servers.front().Weights.Value = "m@2";
-  Fixture.applyDocument();
+  Fixture.publishDocument();
   News.Fresh = false;
   agentTold(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.choose("llm").empty());
--- a/tests/unit/server_rate_test.cpp
+++ b/tests/unit/server_rate_test.cpp
@@ -45,11 +45,11 @@
   EntriesFixture(size_t Count, bool Worker, double ColdPerSecond = 0)
       : Pools(Count) {
     Document Doc;
-    Service Kind;
-    Kind.Name.Value = "s";
-    Kind.Model.Value = Worker ? "m" : "";
-    Kind.ColdPerSecond = ColdPerSecond;
-    Doc.Services = {Kind};
+    Service Spec;
+    Spec.Name.Value = "s";
+    Spec.Model.Value = Worker ? "m" : "";
+    Spec.ColdPerSecond = ColdPerSecond;
+    Doc.Services = {Spec};
     BackEndServer Server;
     Server.Id = Id;
     Server.Service.Value = "s";
@@ -57,7 +57,7 @@
     Server.ColdFor = ColdPerSecond > 0 ? Length : Millis(0);
     Server.Weights.Value = Worker ? "m@1" : "";
     Doc.Servers = {Server};
-    From.Target = Millis(400);
+    TestRoute.Target = Millis(400);
     const auto Shared = std::make_shared<const Document>(Doc);
     for (size_t n = 0; n < Count; ++n)
       Names.push_back({"entry-" + std::to_string(n)});
@@ -82,7 +82,7 @@
   bool send(size_t n, TimePoint Now) {
     ServerNeeds Needs;
     Needs.Service.Value = "s";
-    Needs.From = &From;
+    Needs.From = &TestRoute;
     if (chooseServer(Pools[n], Needs, Now).Server == nullptr)
       return false;
     attemptOpened(Pools[n], Id);
@@ -105,7 +105,7 @@
   }
 
   const InstanceId Id{"i"};
-  Route From;
+  Route TestRoute;
   std::vector<HostName> Names;
   std::vector<ServerPool> Pools;
 };
