--- a/packages/core/src/forwarding/server_pool_type.h
+++ b/packages/core/src/forwarding/server_pool_type.h
@@ -34,7 +34,7 @@
   std::optional<TimePoint> Vanished; ///< When it left the list, if it has.
   uint32_t Open = 0;                 ///< Open attempts of this entry there.
   uint32_t OtherWork = 0;     ///< Requests of other entries, as last reported.
-  Duration PrefillBacklog{0}; ///< Prefill time queued there, as of ToldAt.
+  Duration PrefillBacklog{0}; ///< Prefill time queued there, as last reported.
   TimePoint ToldAt;           ///< When its load was last reported.
   std::optional<AgentNews> Agent; ///< Last report of its agent.
   TimePoint SilentSince;          ///< When the agent last stopped responding.
--- a/tests/unit/caller_age_test.cpp
+++ b/tests/unit/caller_age_test.cpp
@@ -76,7 +76,7 @@
   BOOST_TEST(lateWait(Duration{-1}).count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ACallerIsRecognizedAfterThatRetryDelay) {
+BOOST_AUTO_TEST_CASE(ACallerIsRecognizedAfterItsRetryDelay) {
   // Guards against late callers that take the slots of others under overload:
   // refused ones retried after 0.2 s and counted as new, since the deadlines of
   // new callers differ by a sixth. They were late already, and others that
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -94,7 +94,7 @@
   BOOST_TEST(hostAsked(All.Pool, {"m0"}, All.Now));
   All.Now += Millis(100);
   BOOST_TEST(!All.isUnresponsive("m0"));
-  BOOST_TEST(!hostAsked(All.Pool, {"m0"}, All.Now)); // Server is pending.
+  BOOST_TEST(!hostAsked(All.Pool, {"m0"}, All.Now)); // One is pending.
   All.Now += Millis(200);
   BOOST_TEST(All.isUnresponsive("m0"));
   BOOST_TEST(!All.isChosen("m0"));
--- a/tests/unit/server_pool_test.cpp
+++ b/tests/unit/server_pool_test.cpp
@@ -383,7 +383,7 @@
     sentPastAgent(Fixture.State, {Id}, Fixture.Now);
     ++Sent;
   }
-  BOOST_TEST(Sent == 3); // Less than two per second to each of three.
+  BOOST_TEST(Sent == 3); // Less than two per second to each worker.
   Fixture.Now += Millis(3000);
   BOOST_TEST(!Fixture.choose("llm").empty());
 }
@@ -421,8 +421,8 @@
     SendHeartbeat();
   };
   MissReply();
-  BOOST_TEST(Fixture.countChoices("llm")["m0"] >
-             0); // The reply may have been lost.
+  // A single reply may have been lost.
+  BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
   MissReply();
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
   Fixture.Now += Millis(300);
