--- a/packages/core/src/admission/admission_func.h
+++ b/packages/core/src/admission/admission_func.h
@@ -1,4 +1,4 @@
-/** @file admission_func.h Bounds on the work of a back end. */
+/** @file admission_func.h Admission control for one back end. */
 
 #ifndef JACINTHPOND_CORE_ADMISSION_FUNC_H
 #define JACINTHPOND_CORE_ADMISSION_FUNC_H
@@ -11,51 +11,52 @@
 namespace jacinthpond {
 
 /**
- * The back end started, loaded weights or turned cold: the limit falls. What
- * runs goes on, but nothing starts until less than the new limit runs.
+ * Lowers the limit to the cold limit, after the back end started, loaded
+ * weights or turned cold. Running attempts continue, but none starts until
+ * fewer than the new limit are running.
  * @param Gate State to change.
  */
 void turnCold(Admission &Gate);
 
 /**
- * The back end reported on itself, with a lag.
+ * Applies a load report of the back end, which may be out of date.
  * @param Gate State to change.
- * @param Running Requests that it runs.
- * @param Cold Whether it calls itself cold.
- * @param Fresh First report of this incarnation of the back end: what it runs
- *   without this process's doing is counted.
+ * @param Running Requests that the back end says it runs.
+ * @param Cold Whether it says that it is cold.
+ * @param Fresh First report of this incarnation of the back end: requests that
+ *   this process did not start count towards the limit.
  */
 void backEndReported(Admission &Gate, uint32_t Running, bool Cold, bool Fresh);
 
 /**
- * Says whether an attempt could run now, without waiting.
+ * Says whether a new attempt could run now, without queueing.
  * @param Gate The state.
- * @param Kept Places that are to stay free.
- * @return True when there is room and nobody waits for it.
+ * @param Kept Slots that must stay free.
+ * @return True when a slot is free and no attempt is queued.
  */
 bool runsAtOnce(const Admission &Gate, uint32_t Kept = 0);
 
 /**
- * An attempt asks to run.
- * @param Gate State to change; the attempt counts as running or waiting.
- * @param One Who asks.
- * @param AtOnce False: it waits although there is room, for another reason.
- * @return What it may do.
+ * Admits, queues or refuses an attempt.
+ * @param Gate State to change; the attempt is counted as running or queued.
+ * @param One The attempt.
+ * @param AtOnce False: it is queued even if a slot is free.
+ * @return The decision, with a retry time for a refusal.
  */
 AdmissionAnswer askToRun(Admission &Gate, const Admittee &One,
                          bool AtOnce = true);
 
-/** How a run ended, as far as the back end's load goes. */
+/** How a run ended, with regard to the load of the back end. */
 enum class RunEnd : uint8_t {
-  Whole,    ///< To its end; only that warms a back end.
-  NotBegun, ///< The back end never had it.
-  CutOff    ///< Given up here; the back end may be at it still.
+  Whole,    ///< Completed; only completed runs warm a back end.
+  NotBegun, ///< It never reached the back end.
+  CutOff    ///< Given up here; the back end may still run it.
 };
 
 /**
- * A running attempt ended.
+ * Records the end of a running attempt and frees its slot.
  * @param Gate State to change.
- * @param Attempt Which.
+ * @param Attempt The attempt.
  * @param How How it ended.
  * @param Took How long it ran.
  */
@@ -63,39 +64,40 @@
               Duration Took);
 
 /**
- * A token came after a gap.
- * @param Gate State to change; it turns cold when the gaps say so.
- * @param Gap Time since the one before.
- * @return True when the limit fell because of it.
+ * Records the gap before a token, and lowers the limit when recent gaps show
+ * that the back end is cold.
+ * @param Gate State to change.
+ * @param Gap Time since the previous token.
+ * @return True when the limit was lowered.
  */
 bool tokenCame(Admission &Gate, Duration Gap);
 
 /**
- * Takes the next waiting attempt, which then counts as running.
+ * Dequeues the next attempt that may run, and counts it as running.
  * @param Gate State to change.
- * @return Who may run now, or nothing.
+ * @return The attempt, or nothing when none may run now.
  */
 std::optional<AttemptId> nextToRun(Admission &Gate);
 
 /**
- * Takes an attempt out of the queue.
+ * Removes an attempt from the queue.
  * @param Gate State to change.
- * @param Attempt Which.
- * @return False when it was not waiting.
+ * @param Attempt The attempt.
+ * @return False when it was not queued.
  */
 bool stopWaiting(Admission &Gate, const AttemptId &Attempt);
 
 /**
- * Lists what waits.
+ * Lists the queued attempts.
  * @param Gate The state.
- * @return All waiting attempts.
+ * @return Those that may run with others, then those that must run alone.
  */
 std::vector<AttemptId> waitingAttempts(const Admission &Gate);
 
 /**
- * Works out when a refused attempt may come back.
+ * Estimates when a refused attempt should be retried.
  * @param Gate The state.
- * @return Time in which the work ahead is done, spread a little; 0: not known.
+ * @return Time until the queued work has started; 0: unknown.
  */
 Millis timeToComeBack(const Admission &Gate);
 
--- a/packages/core/src/admission/admission_type.h
+++ b/packages/core/src/admission/admission_type.h
@@ -1,4 +1,4 @@
-/** @file admission_type.h How much work a back end may have. */
+/** @file admission_type.h State of admission control for one back end. */
 
 #ifndef JACINTHPOND_CORE_ADMISSION_TYPE_H
 #define JACINTHPOND_CORE_ADMISSION_TYPE_H
@@ -14,45 +14,46 @@
 
 namespace jacinthpond {
 
-/** Limits of one back end; from the settings. */
+/** Configured limits of one back end. */
 struct AdmissionLimits {
-  uint32_t Warm = 16;     ///< Requests that a warm back end runs at a time.
-  uint32_t Cold = 2;      ///< Requests that a cold one bears.
-  uint32_t Queue = 32;    ///< Requests that wait at most.
-  uint32_t WarmAfter = 8; ///< Requests that a cold one completes first.
+  uint32_t Warm = 16;     ///< Concurrent requests on a warm back end.
+  uint32_t Cold = 2;      ///< Concurrent requests on a cold back end.
+  uint32_t Queue = 32;    ///< Maximum length of the queue.
+  uint32_t WarmAfter = 8; ///< Completed requests before a cold limit grows.
 };
 
-/** What an attempt is told when it asks to run. */
+/** What an attempt that requests admission may do. */
 enum class Admitted : uint8_t { Run, Wait, Refuse };
 
-/** An attempt that asks to run. */
+/** Request to admit one attempt. */
 struct Admittee {
-  Waiter Who;            ///< Attempt, tenant and class.
-  Duration Remaining{0}; ///< Time until its answer is useless.
-  bool Alone = false;    ///< Nothing else may run beside it.
+  Waiter Who;            ///< Attempt, with its workspace and priority.
+  Duration Remaining{0}; ///< Time left until its deadline.
+  bool Alone = false;    ///< Must run with no other attempt.
 };
 
-/** Answer to an attempt that asks to run. */
+/** Result of a request for admission. */
 struct AdmissionAnswer {
-  Admitted May = Admitted::Refuse;    ///< What it may do.
-  Millis RetryAfter{0};               ///< For a refusal; 0: not known.
-  std::optional<AttemptId> PushedOut; ///< Lost its place to this attempt.
+  Admitted May = Admitted::Refuse;    ///< The decision.
+  Millis RetryAfter{0};               ///< Set for a refusal; 0: unknown.
+  std::optional<AttemptId> PushedOut; ///< Removed from the full queue.
 };
 
-/** Running and waiting work of one back end. */
+/** Admission state of one back end: its limit, running and queued attempts. */
 struct Admission {
-  AdmissionLimits Limits;       ///< Bounds.
-  uint32_t Limit = 0;           ///< Running work allowed now.
-  uint32_t Running = 0;         ///< Attempts whose end was not seen.
-  uint32_t Lingering = 0;       ///< Runs of others or cut off, not ended there.
-  uint32_t RunningAtReport = 0; ///< Running when it last reported.
-  uint32_t CompletedAtLimit = 0;      ///< Completed since Limit last changed.
-  bool ReportedCold = false;          ///< What the back end said last.
-  TokenPace Pace;                     ///< Gaps between tokens.
-  Duration ServiceTime{0};            ///< Usual length of a run; 0: not known.
-  FairQueue Waiting;                  ///< Attempts that may run beside others.
-  std::deque<AttemptId> WaitingAlone; ///< Attempts that run alone.
-  std::optional<AttemptId> Alone;     ///< Runs alone now.
+  AdmissionLimits Limits; ///< Configured limits.
+  uint32_t Limit = 0;     ///< Current limit of concurrent attempts.
+  uint32_t Running = 0;   ///< Attempts started here that have not ended.
+  uint32_t Lingering = 0; ///< Requests that the back end may still run although
+                          ///< this process did not start or has abandoned them.
+  uint32_t RunningAtReport = 0; ///< Running at the last report of the back end.
+  uint32_t CompletedAtLimit = 0; ///< Attempts completed since Limit changed.
+  bool ReportedCold = false;     ///< The last report said that it is cold.
+  TokenPace Pace;                ///< Time between tokens.
+  Duration ServiceTime{0};       ///< Moving average of run times; 0: unknown.
+  FairQueue Waiting;             ///< Queued attempts that may run with others.
+  std::deque<AttemptId> WaitingAlone; ///< Queued attempts that must run alone.
+  std::optional<AttemptId> Alone;     ///< The attempt that is running alone.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/fair_queue.cpp
+++ b/packages/core/src/admission/fair_queue.cpp
@@ -1,4 +1,4 @@
-/** @file fair_queue.cpp Order of waiting work. */
+/** @file fair_queue.cpp Queue of attempts, fair between workspaces. */
 
 #include "admission/fair_queue_func.h"
 
@@ -9,47 +9,48 @@
 
 namespace {
 
-/** Takes of higher levels after which a waiting lower one has its turn. */
+/** Dequeues from higher levels after which a lower one has its turn. */
 constexpr uint32_t MaxPassedOver = 8;
 
-using Turns = std::deque<TenantQueue>;
+using Rotation = std::deque<TenantQueue>;
 
-Turns::iterator findTenant(Turns &All, const TenantName &Tenant) {
+/** Finds the queue of a workspace; end() if it has none. */
+Rotation::iterator findTenant(Rotation &All, const TenantName &Tenant) {
   return std::ranges::find(All, Tenant, &TenantQueue::Tenant);
 }
 
-/** The level to take from: a starved one, else the highest. */
-auto nextLevel(FairQueue &Queue) {
+/** Gives the level to dequeue from: a starved one, else the highest. */
+auto selectLevel(FairQueue &Queue) {
   const auto Starved = std::ranges::find_if(Queue.Levels, [](const auto &Row) {
     return Row.second.PassedOver >= MaxPassedOver;
   });
   return Starved == Queue.Levels.end() ? Queue.Levels.begin() : Starved;
 }
 
-/** Attempts held for each unit of weight. */
-double heldShare(const TenantQueue &One) {
+/** Gives the number of queued attempts per unit of weight. */
+double lengthByWeight(const TenantQueue &One) {
   return static_cast<double>(One.Waiting.size()) / One.Weight;
 }
 
-/** Removes the n-th attempt of a tenant and what is empty then. */
+/** Removes a workspace's n-th attempt, and queues and levels left empty. */
 AttemptId removeAt(FairQueue &Queue, uint32_t Priority,
-                   const Turns::iterator &Tenant, size_t n) {
+                   const Rotation::iterator &Tenant, size_t n) {
   const auto At = Tenant->Waiting.begin() + static_cast<ptrdiff_t>(n);
   const AttemptId Which = *At;
   Tenant->Waiting.erase(At);
   --Queue.Size;
   PriorityLevel &Level = Queue.Levels.at(Priority);
   if (Tenant->Waiting.empty())
-    Level.Turns.erase(Tenant);
-  if (Level.Turns.empty())
+    Level.Rotation.erase(Tenant);
+  if (Level.Rotation.empty())
     Queue.Levels.erase(Priority);
   return Which;
 }
 
 } // namespace
 
-void pushWaiter(FairQueue &Queue, const Waiter &One) {
-  Turns &All = Queue.Levels[One.Priority].Turns;
+void enqueueWaiter(FairQueue &Queue, const Waiter &One) {
+  Rotation &All = Queue.Levels[One.Priority].Rotation;
   auto it = findTenant(All, One.Tenant);
   if (it == All.end())
     it = All.insert(All.end(), TenantQueue{One.Tenant, 1, 0, {}});
@@ -58,32 +59,32 @@
   ++Queue.Size;
 }
 
-std::optional<AttemptId> popWaiter(FairQueue &Queue) {
+std::optional<AttemptId> dequeueWaiter(FairQueue &Queue) {
   if (Queue.Size == 0)
     return std::nullopt;
-  const auto Row = nextLevel(Queue);
+  const auto Row = selectLevel(Queue);
   const uint32_t Priority = Row->first;
   for (auto it = std::next(Row); it != Queue.Levels.end(); ++it)
     ++it->second.PassedOver;
   PriorityLevel &Level = Row->second;
   Level.PassedOver = 0;
-  TenantQueue &First = Level.Turns.front();
+  TenantQueue &First = Level.Rotation.front();
   if (First.Credit == 0)
     First.Credit = First.Weight;
   --First.Credit;
   const bool TurnEnds = First.Credit == 0 && First.Waiting.size() > 1;
   const AttemptId Which =
-      removeAt(Queue, Priority, Level.Turns.begin(), size_t{0});
+      removeAt(Queue, Priority, Level.Rotation.begin(), size_t{0});
   if (TurnEnds) {
-    Level.Turns.push_back(std::move(Level.Turns.front()));
-    Level.Turns.pop_front();
+    Level.Rotation.push_back(std::move(Level.Rotation.front()));
+    Level.Rotation.pop_front();
   }
   return Which;
 }
 
-bool dropWaiter(FairQueue &Queue, const AttemptId &Attempt) {
+bool removeWaiter(FairQueue &Queue, const AttemptId &Attempt) {
   for (auto &[Priority, Level] : Queue.Levels)
-    for (auto it = Level.Turns.begin(); it != Level.Turns.end(); ++it) {
+    for (auto it = Level.Rotation.begin(); it != Level.Rotation.end(); ++it) {
       const auto At = std::ranges::find(it->Waiting, Attempt);
       if (At == it->Waiting.end())
         continue;
@@ -94,35 +95,37 @@
   return false;
 }
 
-std::optional<AttemptId> makeRoom(FairQueue &Queue, const Waiter &Newcomer) {
+std::optional<AttemptId> evictForNewcomer(FairQueue &Queue,
+                                          const Waiter &Newcomer) {
   if (Queue.Size == 0)
     return std::nullopt;
   const auto Lowest = std::prev(Queue.Levels.end());
   if (Lowest->first > Newcomer.Priority)
     return std::nullopt;
-  Turns &All = Lowest->second.Turns;
-  const auto Largest = std::ranges::max_element(All, {}, heldShare);
+  Rotation &All = Lowest->second.Rotation;
+  const auto Largest = std::ranges::max_element(All, {}, lengthByWeight);
   if (Lowest->first == Newcomer.Priority) {
     const auto Own = findTenant(All, Newcomer.Tenant);
-    const double Held = Own == All.end() ? 0 : heldShare(*Own);
-    // Equal shares stay as they are: pushing out would only move the refusal.
-    if (heldShare(*Largest) <= Held + 1.0 / std::max(1U, Newcomer.Weight))
+    const double Held = Own == All.end() ? 0 : lengthByWeight(*Own);
+    // With equal shares, eviction would only move the refusal to another
+    // caller.
+    if (lengthByWeight(*Largest) <= Held + 1.0 / std::max(1U, Newcomer.Weight))
       return std::nullopt;
   }
   return removeAt(Queue, Lowest->first, Largest, Largest->Waiting.size() - 1);
 }
 
-size_t aheadOf(const FairQueue &Queue, const Waiter &Newcomer) {
+size_t countAhead(const FairQueue &Queue, const Waiter &Newcomer) {
   size_t Ahead = 0;
   for (const auto &[Priority, Level] : Queue.Levels) {
     if (Priority < Newcomer.Priority)
       break;
     size_t Own = 0;
-    for (const TenantQueue &One : Level.Turns)
+    for (const TenantQueue &One : Level.Rotation)
       if (One.Tenant == Newcomer.Tenant && Priority == Newcomer.Priority)
         Own = One.Waiting.size();
     const size_t Rounds = Own / std::max(1U, Newcomer.Weight) + 1;
-    for (const TenantQueue &One : Level.Turns) {
+    for (const TenantQueue &One : Level.Rotation) {
       const bool SameTenant = One.Tenant == Newcomer.Tenant;
       const bool Fair = Priority == Newcomer.Priority && !SameTenant;
       Ahead += Fair ? std::min(One.Waiting.size(), Rounds * One.Weight)
@@ -135,7 +138,7 @@
 std::vector<AttemptId> allWaiters(const FairQueue &Queue) {
   std::vector<AttemptId> All;
   for (const auto &[Priority, Level] : Queue.Levels)
-    for (const TenantQueue &One : Level.Turns)
+    for (const TenantQueue &One : Level.Rotation)
       All.insert(All.end(), One.Waiting.begin(), One.Waiting.end());
   return All;
 }
--- a/packages/core/src/admission/fair_queue_func.h
+++ b/packages/core/src/admission/fair_queue_func.h
@@ -1,4 +1,4 @@
-/** @file fair_queue_func.h Order of waiting work. */
+/** @file fair_queue_func.h Queue of attempts, fair between workspaces. */
 
 #ifndef JACINTHPOND_CORE_FAIR_QUEUE_FUNC_H
 #define JACINTHPOND_CORE_FAIR_QUEUE_FUNC_H
@@ -11,50 +11,53 @@
 namespace jacinthpond {
 
 /**
- * Adds an attempt behind those of its tenant.
+ * Appends an attempt to the queue of its workspace and priority.
  * @param Queue State to change.
- * @param One What waits.
+ * @param One The attempt.
  */
-void pushWaiter(FairQueue &Queue, const Waiter &One);
+void enqueueWaiter(FairQueue &Queue, const Waiter &One);
 
 /**
- * Takes the next attempt: highest priority first, tenants by weight in turns.
- * A lower priority that was passed over a set number of times goes first, so
- * that it never starves.
+ * Dequeues the next attempt: highest priority first, workspaces in turns by
+ * weight. A lower priority that was passed over a fixed number of times goes
+ * first, so that it never starves.
  * @param Queue State to change.
- * @return The attempt, or nothing when none waits.
+ * @return The attempt, or nothing when the queue is empty.
  */
-std::optional<AttemptId> popWaiter(FairQueue &Queue);
+std::optional<AttemptId> dequeueWaiter(FairQueue &Queue);
 
 /**
- * Takes an attempt out of its place.
+ * Removes an attempt, wherever it is queued.
  * @param Queue State to change.
- * @param Attempt Which.
- * @return False when it was not waiting.
+ * @param Attempt The attempt.
+ * @return False when it was not queued.
  */
-bool dropWaiter(FairQueue &Queue, const AttemptId &Attempt);
+bool removeWaiter(FairQueue &Queue, const AttemptId &Attempt);
 
 /**
- * Makes room in a full queue: the youngest attempt of the tenant that holds
- * most for its weight goes, if the newcomer has the better claim.
+ * Evicts an attempt from a full queue: at the lowest priority, the newest
+ * attempt of the workspace with the most queued attempts per unit of weight. It
+ * is evicted only if the newcomer has a higher priority or, at the same
+ * priority, a workspace with fewer queued attempts per unit of weight.
  * @param Queue State to change.
- * @param Newcomer Who needs the place.
- * @return Who lost its place; nothing when the newcomer has no better claim.
+ * @param Newcomer The attempt to make room for.
+ * @return The evicted attempt; nothing when the newcomer is to be refused.
  */
-std::optional<AttemptId> makeRoom(FairQueue &Queue, const Waiter &Newcomer);
+std::optional<AttemptId> evictForNewcomer(FairQueue &Queue,
+                                          const Waiter &Newcomer);
 
 /**
- * Works out how many attempts go before a newcomer.
+ * Counts the attempts that would be dequeued before a newcomer.
  * @param Queue The queue.
- * @param Newcomer Who would join.
- * @return Attempts that are taken before it, by the order of popWaiter().
+ * @param Newcomer The attempt that would be queued.
+ * @return Attempts before it, in the order of dequeueWaiter().
  */
-size_t aheadOf(const FairQueue &Queue, const Waiter &Newcomer);
+size_t countAhead(const FairQueue &Queue, const Waiter &Newcomer);
 
 /**
- * Lists all attempts.
+ * Lists all queued attempts.
  * @param Queue The queue.
- * @return Their ids, by priority and tenant.
+ * @return Their ids, by priority and workspace.
  */
 std::vector<AttemptId> allWaiters(const FairQueue &Queue);
 
--- a/packages/core/src/admission/fair_queue_type.h
+++ b/packages/core/src/admission/fair_queue_type.h
@@ -1,4 +1,4 @@
-/** @file fair_queue_type.h Work that waits, ordered by class and tenant. */
+/** @file fair_queue_type.h Queue of attempts, fair between workspaces. */
 
 #ifndef JACINTHPOND_CORE_FAIR_QUEUE_TYPE_H
 #define JACINTHPOND_CORE_FAIR_QUEUE_TYPE_H
@@ -13,29 +13,29 @@
 
 namespace jacinthpond {
 
-/** One attempt that may have to wait. */
+/** An attempt that may be queued. */
 struct Waiter {
-  AttemptId Attempt;     ///< Which.
-  TenantName Tenant;     ///< Whose.
-  uint32_t Weight = 1;   ///< Share of the tenant.
-  uint32_t Priority = 1; ///< Of its class; higher goes first.
+  AttemptId Attempt;     ///< Its id.
+  TenantName Tenant;     ///< Workspace that it belongs to.
+  uint32_t Weight = 1;   ///< Share of the workspace.
+  uint32_t Priority = 1; ///< Priority of its class; higher goes first.
 };
 
-/** Waiting attempts of one tenant. */
+/** Queued attempts of one workspace at one priority. */
 struct TenantQueue {
-  TenantName Tenant;             ///< Whose.
-  uint32_t Weight = 1;           ///< Attempts taken in one turn.
-  uint32_t Credit = 0;           ///< Attempts left of the turn under way.
+  TenantName Tenant;             ///< The workspace.
+  uint32_t Weight = 1;           ///< Attempts dequeued in one turn.
+  uint32_t Credit = 0;           ///< Attempts left in the current turn.
   std::deque<AttemptId> Waiting; ///< In order of arrival; never empty.
 };
 
-/** Waiting attempts of one priority. */
+/** Queued attempts of one priority. */
 struct PriorityLevel {
-  std::deque<TenantQueue> Turns; ///< The first one has the turn.
-  uint32_t PassedOver = 0;       ///< Takes of higher levels since its last own.
+  std::deque<TenantQueue> Rotation; ///< The first one has the turn.
+  uint32_t PassedOver = 0; ///< Dequeues from higher levels since its last one.
 };
 
-/** All waiting attempts: deficit round robin within each priority. */
+/** All queued attempts, in deficit round robin within each priority. */
 struct FairQueue {
   std::map<uint32_t, PriorityLevel, std::greater<>> Levels; ///< Highest first.
   size_t Size = 0; ///< Attempts in all levels.
--- a/packages/core/src/admission/first_part.cpp
+++ b/packages/core/src/admission/first_part.cpp
@@ -1,4 +1,4 @@
-/** @file first_part.cpp Time until the first part of an answer comes. */
+/** @file first_part.cpp Time until the first part of an answer arrives. */
 
 #include "admission/first_part_func.h"
 
@@ -8,11 +8,12 @@
 
 namespace {
 
-/** Weight of what was seen so far against a new time: about one batch of an
- * engine. */
+/** Weight of the old average against a new sample's 1: the average follows
+ * about one batch of an engine. */
 constexpr int OldWeight = 15;
 
-Duration mean(Duration Old, Duration New) {
+/** Adds a sample to a moving average. */
+Duration movingAverage(Duration Old, Duration New) {
   return (Old * OldWeight + New) / (OldWeight + 1);
 }
 
@@ -20,18 +21,18 @@
 
 void firstPartSeen(FirstPartTime &Time, Duration Took, Duration Reading) {
   const Duration Rest = std::max(Took - Reading, Duration{0});
-  if (Time.Seen++ == 0) {
-    Time.Usual = Rest;
+  if (Time.SampleCount++ == 0) {
+    Time.MeanTime = Rest;
     return;
   }
   const Duration Off =
-      Rest > Time.Usual ? Rest - Time.Usual : Time.Usual - Rest;
-  Time.Spread = mean(Time.Spread, Off);
-  Time.Usual = mean(Time.Usual, Rest);
+      Rest > Time.MeanTime ? Rest - Time.MeanTime : Time.MeanTime - Rest;
+  Time.MeanDeviation = movingAverage(Time.MeanDeviation, Off);
+  Time.MeanTime = movingAverage(Time.MeanTime, Rest);
 }
 
 Duration firstPartAfter(const FirstPartTime &Time, Duration Reading) {
-  return Reading + Time.Usual + Time.Spread;
+  return Reading + Time.MeanTime + Time.MeanDeviation;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/first_part_func.h
+++ b/packages/core/src/admission/first_part_func.h
@@ -1,12 +1,12 @@
-/** @file first_part_func.h Time until the first part of an answer comes.
+/** @file first_part_func.h Time until the first part of an answer arrives.
  *
- * A full engine reads a prompt between the steps of the answers that it writes:
- * from being sent to its first part a request takes the reading of its own
- * prompt and of those before it, and then some passes of the engine, which grow
- * with its load. The agent knows the reading and learns the rest from what
- * entries saw. So it can tell how long a request may wait for a place and still
- * be on time: one with a long prompt not at all, one with a short prompt
- * longer.
+ * A loaded engine reads prompts between the decoding steps of other answers.
+ * The time from sending a request to the first part of its answer consists of
+ * reading its own prompt and those before it, and of some passes of the engine,
+ * which take longer under load. The agent knows the reading time and estimates
+ * the rest from the times that entries report. From both it derives how long a
+ * request may wait for a slot and still meet its target: the longer its prompt,
+ * the shorter the wait.
  */
 
 #ifndef JACINTHPOND_CORE_FIRST_PART_FUNC_H
@@ -17,18 +17,19 @@
 namespace jacinthpond {
 
 /**
- * An entry told when a first part came.
+ * Records the time to the first part of an answer, as reported by an entry.
  * @param Time State to change.
- * @param Took Time since the place was given.
- * @param Reading Prompts to be read when it was given, its own included.
+ * @param Took Time since the slot was granted.
+ * @param Reading Time to read the prompts queued then, its own included.
  */
 void firstPartSeen(FirstPartTime &Time, Duration Took, Duration Reading);
 
 /**
- * Gives the time in which four of five first parts come.
+ * Estimates the time to the first part of an answer; about four in five arrive
+ * within it.
  * @param Time The state.
- * @param Reading Prompts to be read before, the own one included.
- * @return The time from being given a place.
+ * @param Reading Time to read the prompts queued before, its own included.
+ * @return The time since the slot was granted.
  */
 Duration firstPartAfter(const FirstPartTime &Time, Duration Reading);
 
--- a/packages/core/src/admission/first_part_type.h
+++ b/packages/core/src/admission/first_part_type.h
@@ -1,4 +1,4 @@
-/** @file first_part_type.h Time until the first part of an answer comes. */
+/** @file first_part_type.h Time until the first part of an answer arrives. */
 
 #ifndef JACINTHPOND_CORE_FIRST_PART_TYPE_H
 #define JACINTHPOND_CORE_FIRST_PART_TYPE_H
@@ -9,12 +9,12 @@
 
 namespace jacinthpond {
 
-/** What was seen of first parts at one back end, beyond the time for reading.
- */
+/** Statistics of the time to the first part of an answer at one back end,
+ * without the time for reading prompts. */
 struct FirstPartTime {
-  Duration Usual{0};  ///< Running mean.
-  Duration Spread{0}; ///< Running mean of the distance from it.
-  uint32_t Seen = 0;  ///< First parts that were told of.
+  Duration MeanTime{0};      ///< Moving average.
+  Duration MeanDeviation{0}; ///< Moving average of the distance from MeanTime.
+  uint32_t SampleCount = 0;  ///< Times recorded so far.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/quarantine.cpp
+++ b/packages/core/src/admission/quarantine.cpp
@@ -11,20 +11,22 @@
 namespace {
 
 /** How long a request is refused, or runs only alone, after a death. */
-constexpr Millis Keep{60000};
-/** Deaths that a request may cost. */
+constexpr Millis SuspectLifetime{60000};
+/** Deaths after which a request is refused. */
 constexpr size_t MaxDeaths = 2;
-/** Suspects held at most; the oldest make way. */
+/** Maximum number of suspects; the oldest are dropped. */
 constexpr size_t MaxSuspects = 4096;
 
-const Suspect *find(const Quarantine &State, const Digest &Fingerprint,
-                    TimePoint Now) {
+/** Finds a suspect that has not expired; null if there is none. */
+const Suspect *findSuspect(const Quarantine &State, const Digest &Fingerprint,
+                           TimePoint Now) {
   const auto it = State.Suspects.find(Fingerprint);
-  if (it == State.Suspects.end() || Now - it->second.Last >= Keep)
+  if (it == State.Suspects.end() || Now - it->second.Last >= SuspectLifetime)
     return nullptr;
   return &it->second;
 }
 
+/** Removes the suspect with the oldest notice. */
 void dropOldest(Quarantine &State) {
   const auto it = std::ranges::min_element(
       State.Suspects, {}, [](const auto &Row) { return Row.second.Last; });
@@ -35,7 +37,7 @@
 
 Digest fingerprintOf(const TenantName &Tenant, const ClassName &Class,
                      std::string_view Body) {
-  // Lengths keep apart what plain joining would make equal.
+  // Without the lengths, different fields could concatenate to equal strings.
   std::string All = std::to_string(Tenant.Value.size()) + "/" + Tenant.Value +
                     std::to_string(Class.Value.size()) + "/" + Class.Value;
   All.append(Body);
@@ -44,9 +46,9 @@
 
 bool noteSuspect(Quarantine &State, const SuspectNotice &Notice,
                  TimePoint Now) {
-  const Millis Age(
-      static_cast<int64_t>(std::min<uint64_t>(Notice.AgeMillis, Keep.count())));
-  if (Age >= Keep)
+  const Millis Age(static_cast<int64_t>(
+      std::min<uint64_t>(Notice.AgeMillis, SuspectLifetime.count())));
+  if (Age >= SuspectLifetime)
     return false;
   if (!State.Suspects.contains(Notice.Fingerprint) &&
       State.Suspects.size() >= MaxSuspects)
@@ -58,8 +60,8 @@
     One.Last = std::max(One.Last, Now - Age);
     return One.Cleared.insert(Notice.DeathId).second;
   }
-  // News of a death may be passed on more slowly than that of the whole run
-  // after it; taken then, it would go round again.
+  // A notice of a death may arrive after the notice that cleared it. Applying
+  // it then would forward it around the fleet again.
   if (One.Cleared.contains(Notice.DeathId))
     return false;
   const bool NewDeath = One.Deaths.insert(Notice.DeathId).second;
@@ -71,7 +73,7 @@
 
 Suspicion suspicionOf(const Quarantine &State, const Digest &Fingerprint,
                       TimePoint Now) {
-  const Suspect *One = find(State, Fingerprint, Now);
+  const Suspect *One = findSuspect(State, Fingerprint, Now);
   if (One == nullptr || One->Deaths.empty())
     return Suspicion::None;
   return One->Proven || One->Deaths.size() >= MaxDeaths ? Suspicion::Refuse
@@ -80,17 +82,19 @@
 
 Millis refusedFor(const Quarantine &State, const Digest &Fingerprint,
                   TimePoint Now) {
-  const Suspect *One = find(State, Fingerprint, Now);
-  return One == nullptr ? Millis{0} : toMillis(One->Last + Keep - Now);
+  const Suspect *One = findSuspect(State, Fingerprint, Now);
+  return One == nullptr ? Millis{0}
+                        : toMillis(One->Last + SuspectLifetime - Now);
 }
 
 void clearSuspect(Quarantine &State, const Digest &Fingerprint,
                   const Membership &Fleet, TimePoint Now, Effects &Out) {
-  const Suspect *One = find(State, Fingerprint, Now);
+  const Suspect *One = findSuspect(State, Fingerprint, Now);
   if (One == nullptr)
     return;
-  // Many callers may send equal requests. Without this news, two deaths of
-  // other causes would add up wherever the request did not run in between.
+  // Many callers may send equal requests. Unless all hosts clear these deaths,
+  // two deaths with other causes would add up on hosts where the request did
+  // not run in between.
   const std::set<std::string> Deaths = One->Deaths;
   for (const std::string &Death : Deaths) {
     const SuspectNotice Notice{Fingerprint, Death, 0, false, true};
@@ -100,8 +104,9 @@
 }
 
 void forgetSuspects(Quarantine &State, TimePoint Now) {
-  std::erase_if(State.Suspects,
-                [&](const auto &Row) { return Now - Row.second.Last >= Keep; });
+  std::erase_if(State.Suspects, [&](const auto &Row) {
+    return Now - Row.second.Last >= SuspectLifetime;
+  });
 }
 
 void tellSuspects(const Quarantine &State, LinkId Link, TimePoint Now,
--- a/packages/core/src/admission/quarantine_func.h
+++ b/packages/core/src/admission/quarantine_func.h
@@ -1,8 +1,9 @@
 /** @file quarantine_func.h Requests that were running when back ends died.
  *
- * A request that crashes each back end that runs it costs two of them: the
- * first death makes everything that ran there a suspect, each suspect runs
- * again only alone, and the one that dies again is refused everywhere.
+ * A request that crashes every back end it runs on may kill at most two. The
+ * first death makes all requests that were running there suspects. A suspect
+ * runs again only alone, and if the back end dies again, it is refused on all
+ * hosts for a while.
  */
 
 #ifndef JACINTHPOND_CORE_QUARANTINE_FUNC_H
@@ -18,50 +19,51 @@
 namespace jacinthpond {
 
 /**
- * Names a request by its content, so that it is known however often and
- * wherever it is sent again.
- * @param Tenant Whose.
+ * Identifies a request by a digest of its content, so that repeats are
+ * recognised on every host.
+ * @param Tenant Workspace of the request.
  * @param Class Class of work.
- * @param Body Its body.
+ * @param Body Body of the request.
  * @return The fingerprint.
  */
 Digest fingerprintOf(const TenantName &Tenant, const ClassName &Class,
                      std::string_view Body);
 
 /**
- * Takes a notice of a death.
+ * Applies a notice of a death, or of a completed run that clears a suspect.
  * @param State State to change.
- * @param Notice What was told.
+ * @param Notice The notice.
  * @param Now Current time.
- * @return True when it was news and is to be passed on.
+ * @return True when it changed the state and has to be forwarded to peers.
  */
 bool noteSuspect(Quarantine &State, const SuspectNotice &Notice, TimePoint Now);
 
 /**
- * Says how a request is to be treated.
+ * Gives how to treat a request.
  * @param State The state.
- * @param Fingerprint The request.
+ * @param Fingerprint Fingerprint of the request.
  * @param Now Current time.
- * @return What to do with it.
+ * @return Whether it may run, must run alone or is refused.
  */
 Suspicion suspicionOf(const Quarantine &State, const Digest &Fingerprint,
                       TimePoint Now);
 
 /**
- * Works out how long a request is refused yet.
+ * Gives how much longer a request is refused.
  * @param State The state.
- * @param Fingerprint The request.
+ * @param Fingerprint Fingerprint of the request.
  * @param Now Current time.
- * @return Time left.
+ * @return Time left; 0 for a request that is no suspect.
  */
 Millis refusedFor(const Quarantine &State, const Digest &Fingerprint,
                   TimePoint Now);
 
 /**
- * A request ran whole: it was there at a death by accident.
+ * Clears a suspect that ran to completion, and notifies peers: it did not cause
+ * the deaths.
  * @param State State to change.
- * @param Fingerprint The request.
- * @param Fleet Peers that are told.
+ * @param Fingerprint Fingerprint of the request.
+ * @param Fleet Links to the peers to notify.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -69,16 +71,16 @@
                   const Membership &Fleet, TimePoint Now, Effects &Out);
 
 /**
- * Forgets suspects whose last death is long past.
+ * Removes suspects whose last death is too long ago.
  * @param State State to change.
  * @param Now Current time.
  */
 void forgetSuspects(Quarantine &State, TimePoint Now);
 
 /**
- * Tells a peer whose link is new all that is known.
+ * Sends all known suspects to a peer with a new link.
  * @param State The state.
- * @param Link The link.
+ * @param Link The link to the peer.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -86,10 +88,10 @@
                   Effects &Out);
 
 /**
- * Tells a notice to peers.
+ * Sends a notice over all ready links.
  * @param Fleet Links of this process.
- * @param Notice What to tell.
- * @param Only Which peers; all without it.
+ * @param Notice The message.
+ * @param Only Role of the peers to send it to; empty: all peers.
  * @param Out Effects are appended.
  */
 void spreadNotice(const Membership &Fleet, const Message &Notice,
--- a/packages/core/src/admission/quarantine_type.h
+++ b/packages/core/src/admission/quarantine_type.h
@@ -12,24 +12,24 @@
 
 namespace jacinthpond {
 
-/** What is known of one request that was running when a back end died. */
+/** What is known of a request that was running when a back end died. */
 struct Suspect {
-  std::set<std::string> Deaths;  ///< Names of the deaths, each counted once.
-  std::set<std::string> Cleared; ///< Deaths after which it ran whole.
-  bool Proven = false;           ///< It ran alone at one of them.
-  TimePoint Last;                ///< When the last one was.
+  std::set<std::string> Deaths;  ///< Ids of the deaths, each counted once.
+  std::set<std::string> Cleared; ///< Deaths after which it ran to completion.
+  bool Proven = false;           ///< It was running alone at one of them.
+  TimePoint Last; ///< When the latest death or completed run was.
 };
 
-/** How a request is to be treated. */
+/** How to treat a request. */
 enum class Suspicion : uint8_t {
-  None,     ///< Like any other.
-  RunAlone, ///< It was there at one death: nothing may run beside it.
-  Refuse    ///< It cost two back ends: it is refused for a time.
+  None,     ///< Not suspected.
+  RunAlone, ///< Was running at one death: must run alone.
+  Refuse    ///< Was running at two deaths, or alone at one: refused.
 };
 
-/** Suspects by fingerprint. */
+/** Recent suspects. */
 struct Quarantine {
-  std::map<Digest, Suspect> Suspects; ///< Those of the last while.
+  std::map<Digest, Suspect> Suspects; ///< By fingerprint.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/reading.cpp
+++ b/packages/core/src/admission/reading.cpp
@@ -1,4 +1,4 @@
-/** @file reading.cpp Prompts that a back end has to read. */
+/** @file reading.cpp Prompts that a back end has yet to read (prefill). */
 
 #include "admission/reading_func.h"
 
@@ -9,20 +9,20 @@
 namespace {
 
 /**
- * Reading that may be left when another prompt is given. Answers pause for the
- * reading and for a pass of the engine, about 50 ms; together with one long
- * prompt, 120 ms, that stays below pauses of 300 ms.
+ * Reading time that may be left when another prompt is sent. Running answers
+ * pause for it and for a pass of the engine, about 50 ms; with one more long
+ * prompt of 120 ms the pause stays below 300 ms.
  */
-constexpr Millis MostReadingLeft{90};
+constexpr Millis MaxReadingLeft{90};
 
 } // namespace
 
 Duration readingLeft(const ReadingDebt &Debt, TimePoint Now) {
-  return std::max(Debt.Owed - (Now - Debt.At), Duration{0});
+  return std::max(Debt.Backlog - (Now - Debt.UpdatedAt), Duration{0});
 }
 
 bool mayRead(const ReadingDebt &Debt, TimePoint Now) {
-  return readingLeft(Debt, Now) <= MostReadingLeft;
+  return readingLeft(Debt, Now) <= MaxReadingLeft;
 }
 
 Duration readingTime(const ReadingDebt &Debt, uint32_t Tokens) {
@@ -33,8 +33,8 @@
 }
 
 void addReading(ReadingDebt &Debt, uint32_t Tokens, TimePoint Now) {
-  Debt.Owed = readingLeft(Debt, Now) + readingTime(Debt, Tokens);
-  Debt.At = Now;
+  Debt.Backlog = readingLeft(Debt, Now) + readingTime(Debt, Tokens);
+  Debt.UpdatedAt = Now;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/reading_func.h
+++ b/packages/core/src/admission/reading_func.h
@@ -1,10 +1,10 @@
-/** @file reading_func.h Prompts that a back end has to read.
+/** @file reading_func.h Prompts that a back end has yet to read (prefill).
  *
- * An engine reads prompts between the tokens of the answers that it writes.
- * When several long prompts come at the same moment, all answers under way
- * pause for as long as they take together, and every first token waits for the
- * last prompt. So prompts are given one after the other, and entries prefer
- * back ends with little to read.
+ * An engine reads prompts between the tokens of the answers that it generates.
+ * When several long prompts arrive at once, all running answers pause until all
+ * of them are read, and every first token waits for the last prompt. Prompts
+ * are therefore sent one after the other, and entries prefer back ends with
+ * little left to read.
  */
 
 #ifndef JACINTHPOND_CORE_READING_FUNC_H
@@ -17,15 +17,15 @@
 namespace jacinthpond {
 
 /**
- * Gives what is left to read.
+ * Gives the time to read the prompts that are left.
  * @param Debt The state.
  * @param Now Current time.
- * @return Time that it takes.
+ * @return The time; 0 when all have been read.
  */
 Duration readingLeft(const ReadingDebt &Debt, TimePoint Now);
 
 /**
- * Says whether another prompt may be given.
+ * Says whether another prompt may be sent to the back end.
  * @param Debt The state.
  * @param Now Current time.
  * @return False while too much is left to read.
@@ -33,17 +33,17 @@
 bool mayRead(const ReadingDebt &Debt, TimePoint Now);
 
 /**
- * Gives the time that one prompt takes.
+ * Gives the time to read one prompt.
  * @param Debt The state.
- * @param Tokens Its size.
- * @return The time; 0 where the rate is not known.
+ * @param Tokens Length of the prompt.
+ * @return The time; 0 when the rate is unknown.
  */
 Duration readingTime(const ReadingDebt &Debt, uint32_t Tokens);
 
 /**
- * A prompt was given.
+ * Adds a prompt that is sent to the back end.
  * @param Debt State to change.
- * @param Tokens Its size.
+ * @param Tokens Length of the prompt.
  * @param Now Current time.
  */
 void addReading(ReadingDebt &Debt, uint32_t Tokens, TimePoint Now);
--- a/packages/core/src/admission/reading_type.h
+++ b/packages/core/src/admission/reading_type.h
@@ -1,4 +1,4 @@
-/** @file reading_type.h Prompts that a back end has to read. */
+/** @file reading_type.h Prompts that a back end has yet to read (prefill). */
 
 #ifndef JACINTHPOND_CORE_READING_TYPE_H
 #define JACINTHPOND_CORE_READING_TYPE_H
@@ -7,11 +7,12 @@
 
 namespace jacinthpond {
 
-/** Prompts given to a back end and not read yet, as time that reading takes. */
+/** Prompts sent to a back end that it has not read yet, as the time that
+ * reading (prefill) takes. */
 struct ReadingDebt {
-  double TokensPerSecond = 0; ///< Rate of reading; 0: not known, no bound.
-  Duration Owed{0};           ///< Time to read what was given, as of At.
-  TimePoint At;               ///< When Owed was worked out.
+  double TokensPerSecond = 0; ///< Prefill rate; 0: unknown, no limit applies.
+  Duration Backlog{0};        ///< Time to read the prompts, as of UpdatedAt.
+  TimePoint UpdatedAt;        ///< When Backlog was computed.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/server_rate.cpp
+++ b/packages/core/src/admission/server_rate.cpp
@@ -1,4 +1,4 @@
-/** @file server_rate.cpp Rate limit that a back end sets for itself. */
+/** @file server_rate.cpp Rate limit that a back end announces. */
 
 #include "admission/server_rate_func.h"
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-/** Lowest limit that is kept. One request in a while finds out whether a back
- * end that takes next to nothing still says so. */
-constexpr double LeastPerSecond = 0.25;
+/** Lower bound of the limit applied, so that an occasional request finds out
+ * whether a very low limit still stands. */
+constexpr double MinPerSecond = 0.25;
 
 } // namespace
 
@@ -43,7 +43,7 @@
     return true;
   if (Part <= 0)
     return false;
-  Rate.Share.PerSecond = Part * std::max(*Rate.PerSecond, LeastPerSecond);
+  Rate.Share.PerSecond = Part * std::max(*Rate.PerSecond, MinPerSecond);
   return rateAllows(Rate.Share, Now);
 }
 
--- a/packages/core/src/admission/server_rate_func.h
+++ b/packages/core/src/admission/server_rate_func.h
@@ -1,4 +1,4 @@
-/** @file server_rate_func.h Rate limit that a back end sets for itself. */
+/** @file server_rate_func.h Rate limit that a back end announces. */
 
 #ifndef JACINTHPOND_CORE_SERVER_RATE_FUNC_H
 #define JACINTHPOND_CORE_SERVER_RATE_FUNC_H
@@ -10,17 +10,17 @@
 namespace jacinthpond {
 
 /**
- * An answer named a limit.
+ * Records a limit announced by an answer.
  * @param Rate State to change.
- * @param PerSecond Requests a second that the back end takes.
- * @param HeardAt When the answer came.
- * @return Whether the limit is new, or another one.
+ * @param PerSecond Requests per second that the back end accepts.
+ * @param HeardAt When the answer arrived.
+ * @return Whether the limit is new or has another value.
  */
 RateChange rateNamed(ServerRate &Rate, double PerSecond, TimePoint HeardAt);
 
 /**
- * An answer named no limit. Answers overtake each other, so this lifts a limit
- * only where the request was sent after the limit had been heard of.
+ * Records an answer without a limit. Answers may overtake each other, so this
+ * lifts a limit only if the request was sent after the limit became known.
  * @param Rate State to change.
  * @param SentAt When the request was sent.
  * @return Whether a limit was lifted.
@@ -30,9 +30,9 @@
 /**
  * Says whether this process may send a request now.
  * @param Rate State to change.
- * @param Part Part of the limit that is this process's own, from 0 to 1.
+ * @param Part This process's part of the limit, from 0 to 1.
  * @param Now Current time.
- * @return True without a limit, or when its part allows one.
+ * @return True without a limit, or when this process's part allows a request.
  */
 bool rateAllowsRequest(ServerRate &Rate, double Part, TimePoint Now);
 
@@ -43,23 +43,23 @@
 void countRequest(ServerRate &Rate);
 
 /**
- * Takes back a request that was counted and not sent.
+ * Takes back the count of a request that was not sent.
  * @param Rate State to change.
  */
 void uncountRequest(ServerRate &Rate);
 
 /**
- * Gives when this process may send a request.
+ * Gives the time until this process may send a request.
  * @param Rate The state.
  * @param Now Current time.
- * @return Time until then; 0: now.
+ * @return The time; 0: now.
  */
 Duration timeToRequest(const ServerRate &Rate, TimePoint Now);
 
 /**
- * Writes a limit for log lines.
+ * Formats a limit for log lines.
  * @param Rate The state.
- * @return Requests a second; "-" for no limit.
+ * @return Requests per second; "-" for no limit.
  */
 std::string rateText(const ServerRate &Rate);
 
--- a/packages/core/src/admission/server_rate_type.h
+++ b/packages/core/src/admission/server_rate_type.h
@@ -1,4 +1,4 @@
-/** @file server_rate_type.h Rate limit that a back end sets for itself. */
+/** @file server_rate_type.h Rate limit that a back end announces. */
 
 #ifndef JACINTHPOND_CORE_SERVER_RATE_TYPE_H
 #define JACINTHPOND_CORE_SERVER_RATE_TYPE_H
@@ -12,22 +12,23 @@
 namespace jacinthpond {
 
 /**
- * A server-side rate limit as one process knows it. The back end names it in
- * its answers, all entries together have to keep it, and it holds until an
- * answer to a later request names none.
+ * Rate limit of a back end as one process knows it. The back end announces it
+ * in its answers, and all entries together have to keep it. It applies until an
+ * answer to a later request announces none.
  */
 struct ServerRate {
-  std::optional<double> PerSecond; ///< Requests a second; nothing: no limit.
-  TimePoint NamedAt;               ///< When an answer named it last.
-  TimePoint LiftedAt; ///< When the request was sent whose answer named none.
-  RateLimit Share;    ///< What this process may send of it.
+  std::optional<double> PerSecond; ///< Requests per second; empty: no limit.
+  TimePoint NamedAt;               ///< When an answer last announced it.
+  TimePoint LiftedAt; ///< Send time of the last request whose answer had
+                      ///< no limit.
+  RateLimit Share;    ///< This process's share of it.
 };
 
-/** What an answer changed in what is known of a limit. */
+/** How an answer changed the known limit. */
 enum class RateChange : uint8_t {
-  None,   ///< Nothing, or it is out of date.
-  Set,    ///< The limit is new, or another one.
-  Lifted, ///< There is no limit any more.
+  None,   ///< Not at all, or the answer is out of date.
+  Set,    ///< The limit is new or has another value.
+  Lifted, ///< There is no limit anymore.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/token_pace.cpp
+++ b/packages/core/src/admission/token_pace.cpp
@@ -1,4 +1,4 @@
-/** @file token_pace.cpp Time between tokens, as a sign of a cold engine. */
+/** @file token_pace.cpp Time between tokens, used to detect a cold engine. */
 
 #include "admission/token_pace_func.h"
 
@@ -8,13 +8,14 @@
 
 namespace {
 
-/** A gap this many times the warm one is a sign of a cold back end. */
+/** Multiple of the warm gap from which a gap indicates a cold back end. */
 constexpr int ColdFactor = 4;
-/** Gaps below this are never a sign: within the usual target. */
-constexpr Millis SmallestColdGap{40};
-/** Weight of the figure so far against a new one. */
+/** Gaps up to this are within the usual target and never indicate one. */
+constexpr Millis MinColdGap{40};
+/** Weight of the old average against a new median's 1. */
 constexpr int OldWeight = 7;
 
+/** Gives the median of the recent gaps. */
 Duration medianGap(const TokenPace &Pace) {
   auto Sorted = Pace.Recent;
   const auto Middle = Sorted.begin() + PaceWindow / 2;
@@ -24,11 +25,11 @@
 
 } // namespace
 
-void gapSeen(TokenPace &Pace, Duration Gap, bool AtWarmLimit) {
+void recordGap(TokenPace &Pace, Duration Gap, bool AtWarmLimit) {
   Pace.Recent.at(Pace.Seen % PaceWindow) = Gap;
   ++Pace.Seen;
   const bool WholeWindow = Pace.Seen % PaceWindow == 0;
-  if (!WholeWindow || !AtWarmLimit || looksCold(Pace))
+  if (!WholeWindow || !AtWarmLimit || isLikelyCold(Pace))
     return;
   const Duration Median = medianGap(Pace);
   Pace.Warm = Pace.Warm.count() == 0
@@ -36,16 +37,16 @@
                   : (Pace.Warm * OldWeight + Median) / (OldWeight + 1);
 }
 
-void forgetGaps(TokenPace &Pace) { Pace.Seen = 0; }
+void clearGaps(TokenPace &Pace) { Pace.Seen = 0; }
 
 bool farOverWarm(const TokenPace &Pace, Duration Gap) {
   return Pace.Warm.count() > 0 && Gap > Pace.Warm * ColdFactor &&
-         Gap > SmallestColdGap;
+         Gap > MinColdGap;
 }
 
-bool looksCold(const TokenPace &Pace) {
-  // The median stands for the back end as a whole: a single long answer or a
-  // short stall of this process does not count.
+bool isLikelyCold(const TokenPace &Pace) {
+  // The median reflects the back end as a whole: one slow answer or a short
+  // stall of this process does not change it.
   return Pace.Seen >= PaceWindow && farOverWarm(Pace, medianGap(Pace));
 }
 
--- a/packages/core/src/admission/token_pace_func.h
+++ b/packages/core/src/admission/token_pace_func.h
@@ -1,4 +1,5 @@
-/** @file token_pace_func.h Time between tokens, as a sign of a cold engine. */
+/** @file token_pace_func.h Time between tokens, used to detect a cold engine.
+ */
 
 #ifndef JACINTHPOND_CORE_TOKEN_PACE_FUNC_H
 #define JACINTHPOND_CORE_TOKEN_PACE_FUNC_H
@@ -8,34 +9,34 @@
 namespace jacinthpond {
 
 /**
- * Takes one gap between two tokens of an answer.
+ * Records a gap between two tokens of an answer.
  * @param Pace State to change.
  * @param Gap Its length.
- * @param AtWarmLimit The back end runs at its warm limit: its usual gap is
- *   learnt.
+ * @param AtWarmLimit Whether the back end has its warm limit; only then is the
+ *   typical warm gap updated.
  */
-void gapSeen(TokenPace &Pace, Duration Gap, bool AtWarmLimit);
+void recordGap(TokenPace &Pace, Duration Gap, bool AtWarmLimit);
 
 /**
- * Forgets the recent gaps, but not the warm figure.
+ * Forgets the recent gaps, but not the typical warm gap.
  * @param Pace State to change.
  */
-void forgetGaps(TokenPace &Pace);
+void clearGaps(TokenPace &Pace);
 
 /**
- * Says whether one gap is far over the warm figure.
+ * Says whether a gap is far longer than the typical warm gap.
  * @param Pace The state.
- * @param Gap A gap, which may be still open.
- * @return True when a warm back end does not show such a gap.
+ * @param Gap Length of the gap, or time since the last token.
+ * @return True when a warm back end does not pause for that long.
  */
 bool farOverWarm(const TokenPace &Pace, Duration Gap);
 
 /**
- * Says whether the back end looks cold, by the median of recent gaps.
+ * Says whether the median of the recent gaps indicates a cold back end.
  * @param Pace The state.
- * @return True when most of the recent gaps are far over the warm figure.
+ * @return True when it is far longer than the typical warm gap.
  */
-bool looksCold(const TokenPace &Pace);
+bool isLikelyCold(const TokenPace &Pace);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/token_pace_type.h
+++ b/packages/core/src/admission/token_pace_type.h
@@ -1,4 +1,5 @@
-/** @file token_pace_type.h Time between tokens, as a sign of a cold engine. */
+/** @file token_pace_type.h Time between tokens, used to detect a cold engine.
+ */
 
 #ifndef JACINTHPOND_CORE_TOKEN_PACE_TYPE_H
 #define JACINTHPOND_CORE_TOKEN_PACE_TYPE_H
@@ -10,14 +11,14 @@
 
 namespace jacinthpond {
 
-/** Gaps that are looked at together. */
+/** Number of gaps that a median is computed over. */
 constexpr size_t PaceWindow = 32;
 
-/** Gaps between the tokens of one back end's answers. */
+/** Gaps between tokens of the answers of one back end. */
 struct TokenPace {
-  std::array<Duration, PaceWindow> Recent{}; ///< Last gaps, a ring.
+  std::array<Duration, PaceWindow> Recent{}; ///< Latest gaps, a ring buffer.
   size_t Seen = 0;                           ///< Gaps since the last reset.
-  Duration Warm{0}; ///< Usual gap while warm; 0: not known yet.
+  Duration Warm{0}; ///< Typical gap while warm; 0: unknown.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/chunk_plan.cpp
+++ b/packages/core/src/weights/chunk_plan.cpp
@@ -1,4 +1,4 @@
-/** @file chunk_plan.cpp Who draws, imports and passes on which chunks. */
+/** @file chunk_plan.cpp Which host fetches which chunks, and from where. */
 
 #include "weights/chunk_plan_func.h"
 
@@ -13,8 +13,9 @@
 
 namespace {
 
+/** Groups the workers of a model by failure domain. */
 std::map<DomainName, std::vector<PlanHost>>
-hostsByDomain(const Document &Doc, const ModelName &Model) {
+groupHostsByDomain(const Document &Doc, const ModelName &Model) {
   std::map<DomainName, std::vector<PlanHost>> Domains;
   for (const Worker &Host : Doc.Workers)
     if (Host.Model == Model)
@@ -22,7 +23,7 @@
   return Domains;
 }
 
-/** Ranks the hosts of a domain by a hash, so that the order tells nothing. */
+/** Ranks the hosts of a domain by a hash, independent of their names' order. */
 void rankHosts(std::vector<PlanHost> &Hosts, const ModelName &Model) {
   std::ranges::sort(Hosts, [&](const PlanHost &A, const PlanHost &B) {
     const uint64_t ScoreA = rendezvousScore(Model.Value, A.Name.Value);
@@ -35,24 +36,24 @@
   }
 }
 
-/** Distance from a rank to another one around the ring of a domain. */
+/** Gives the distance from one rank to another around the ring of a domain. */
 size_t ringDistance(size_t From, size_t To, size_t Size) {
   return (To % Size + Size - From % Size) % Size;
 }
 
-/** Says whether this host opens the link to another one of its domain. */
-bool opensWithinDomain(const PlanHost &Self, const PlanHost &Other) {
+/** Says whether this host opens the link to another host of its domain. */
+bool needsLinkWithinDomain(const PlanHost &Self, const PlanHost &Other) {
   const size_t Ahead = ringDistance(Self.Rank, Other.Rank, Self.DomainSize);
   const size_t Back = Self.DomainSize - Ahead;
   const auto IsPower = [](size_t n) { return (n & (n - 1)) == 0; };
   if (Ahead == 0 || !IsPower(Ahead))
     return false;
-  // Where both distances are powers of two the pair needs one link only.
+  // When both distances are powers of two, one link serves the pair.
   return !IsPower(Back) || Self.Rank < Other.Rank;
 }
 
-/** Says whether this host opens the link to one of another domain. */
-bool opensAcross(const PlanHost &Self, const PlanHost &Other) {
+/** Says whether this host opens the link to a host of another domain. */
+bool needsLinkAcrossDomains(const PlanHost &Self, const PlanHost &Other) {
   const size_t Ahead = ringDistance(Self.Rank, Other.Rank, Other.DomainSize);
   if (Ahead == 1)
     return true;
@@ -69,7 +70,7 @@
   const Worker *Host = findWorker(Doc, Self);
   if (Host == nullptr || Host->Model.Value.empty())
     return Plan;
-  for (auto &[Domain, Hosts] : hostsByDomain(Doc, Host->Model)) {
+  for (auto &[Domain, Hosts] : groupHostsByDomain(Doc, Host->Model)) {
     rankHosts(Hosts, Host->Model);
     Plan.Hosts.insert(Plan.Hosts.end(), Hosts.begin(), Hosts.end());
   }
@@ -81,15 +82,16 @@
 
 bool planned(const ChunkPlan &Plan) { return Plan.Self < Plan.Hosts.size(); }
 
-size_t drawRank(const ChunkPlan &Plan, size_t n) {
+size_t originRank(const ChunkPlan &Plan, size_t n) {
   return ringDistance(n, Plan.Self, Plan.Hosts.size());
 }
 
 size_t importRank(const ChunkPlan &Plan, size_t n) {
-  const PlanHost &Drawer = Plan.Hosts[n % Plan.Hosts.size()];
+  const PlanHost &Fetcher = Plan.Hosts[n % Plan.Hosts.size()];
   const PlanHost &Self = Plan.Hosts[Plan.Self];
-  // The first two ranks have links to the host that draws the chunk.
-  return ringDistance(Drawer.Rank, Self.Rank, Self.DomainSize);
+  // The first two ranks have links to the host that fetches the chunk from the
+  // origin.
+  return ringDistance(Fetcher.Rank, Self.Rank, Self.DomainSize);
 }
 
 std::vector<PeerAddress> chunkPeers(const ChunkPlan &Plan) {
@@ -99,10 +101,10 @@
   const PlanHost &Self = Plan.Hosts[Plan.Self];
   for (const PlanHost &Other : Plan.Hosts) {
     const bool Opens = Other.Domain == Self.Domain
-                           ? opensWithinDomain(Self, Other)
-                           : opensAcross(Self, Other);
+                           ? needsLinkWithinDomain(Self, Other)
+                           : needsLinkAcrossDomains(Self, Other);
     if (Opens)
-      Peers.push_back({Other.Name, Other.At});
+      Peers.push_back({Other.Name, Other.AgentAddress});
   }
   return Peers;
 }
--- a/packages/core/src/weights/chunk_plan_type.h
+++ b/packages/core/src/weights/chunk_plan_type.h
@@ -1,4 +1,4 @@
-/** @file chunk_plan_type.h Who draws, imports and passes on which chunks. */
+/** @file chunk_plan_type.h Which host fetches which chunks, and from where. */
 
 #ifndef JACINTHPOND_CORE_CHUNK_PLAN_TYPE_H
 #define JACINTHPOND_CORE_CHUNK_PLAN_TYPE_H
@@ -10,22 +10,23 @@
 
 namespace jacinthpond {
 
-/** A worker in the fleet order of its model. */
+/** A worker in the fleet order of its model; see ChunkPlan. */
 struct PlanHost {
   HostName Name;         ///< Published name.
-  Address At;            ///< Peer address of its agent.
+  Address AgentAddress;  ///< Peer address of its agent.
   DomainName Domain;     ///< Failure domain.
-  size_t Rank = 0;       ///< Place among the workers of its domain.
-  size_t DomainSize = 1; ///< Workers of its domain.
+  size_t Rank = 0;       ///< Position among the workers of its domain.
+  size_t DomainSize = 1; ///< Number of workers in its domain.
 };
 
 /**
- * The published workers of one model in the order that every agent works out
- * alike: by rank, then by domain, so that neighbours are in other domains.
+ * The published workers of one model in fleet order: by rank, then by domain,
+ * so that neighbours are in different domains. Every agent computes the same
+ * order.
  */
 struct ChunkPlan {
   std::vector<PlanHost> Hosts; ///< In fleet order.
-  size_t Self = 0;             ///< Position of this host; Hosts.size(): none.
+  size_t Self = 0; ///< Index of this host; Hosts.size(): not listed.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/chunk_progress_func.h
+++ b/packages/core/src/weights/chunk_progress_func.h
@@ -1,4 +1,4 @@
-/** @file chunk_progress_func.h What is known of chunks and who holds them. */
+/** @file chunk_progress_func.h State of chunks and of their holders. */
 
 #ifndef JACINTHPOND_CORE_CHUNK_PROGRESS_FUNC_H
 #define JACINTHPOND_CORE_CHUNK_PROGRESS_FUNC_H
@@ -8,49 +8,49 @@
 namespace jacinthpond {
 
 /**
- * Reads one bit of a set of chunks.
- * @param Bits The set.
+ * Says whether a chunk is in a bit set.
+ * @param Bits The set; bit n%8 of byte n/8 is chunk n.
  * @param n Index of the chunk.
- * @return Whether it is in the set.
+ * @return False also beyond the end of the set.
  */
 bool hasBit(const std::vector<uint8_t> &Bits, size_t n);
 
 /**
- * Adds a chunk to a set.
+ * Adds a chunk to a bit set.
  * @param Bits The set; large enough.
  * @param n Index of the chunk.
  */
 void setBit(std::vector<uint8_t> &Bits, size_t n);
 
 /**
- * Says whether a peer told that it holds a chunk.
+ * Says whether a peer has announced that it holds a chunk.
  * @param Peer The peer.
- * @param Set The set that is exchanged.
+ * @param Set Set that the chunk belongs to.
  * @param n Index of the chunk.
- * @return False also where it told of another set.
+ * @return False also when it announced chunks of another set.
  */
-bool holds(const ChunkPeer &Peer, const Digest &Set, size_t n);
+bool hasAnnounced(const ChunkPeer &Peer, const Digest &Set, size_t n);
 
 /**
- * Says whether a chunk can be had from a linked peer that is trusted.
+ * Says whether a linked peer that is not avoided holds a chunk.
  * @param Transfer The state.
  * @param n Index of the chunk.
- * @param NearOnly Whether only this domain's peers count.
+ * @param NearOnly Whether only peers of this domain count.
  * @param Now Current time.
- * @return Whether some peer can be asked.
+ * @return True when the chunk can be requested from a peer.
  */
 bool hasUsableHolder(const TransferState &Transfer, size_t n, bool NearOnly,
                      TimePoint Now);
 
 /**
- * Says whether chunks are asked for part by part: the own link is known.
+ * Says whether chunks are requested from peers in parts.
  * @param Transfer The state.
- * @return False where whole chunks are asked for.
+ * @return False for whole chunks, when the rate of the own link is unknown.
  */
-bool comesInParts(const TransferState &Transfer);
+bool isFetchedInParts(const TransferState &Transfer);
 
 /**
- * Names a chunk for origin and engine.
+ * Gives the reference of a chunk that the origin and the engine use.
  * @param Transfer The state.
  * @param n Index of the chunk.
  * @return Its model, version, number and digest.
@@ -58,25 +58,26 @@
 ChunkRef chunkRef(const TransferState &Transfer, size_t n);
 
 /**
- * The chunk is being brought into this domain; peers are told.
+ * Marks a chunk as being fetched from the origin or another domain, to be
+ * announced to peers.
  * @param Transfer State to change.
  * @param n Index of the chunk.
  */
-void noteComing(TransferState &Transfer, size_t n);
+void markImporting(TransferState &Transfer, size_t n);
 
 /**
- * Takes back that a chunk was asked for, with what came of it so far.
+ * Cancels the request for a chunk and discards the parts received so far.
  * @param Transfer State to change.
  * @param n Index of the chunk.
  */
-void releaseChunk(TransferState &Transfer, size_t n);
+void cancelChunkRequest(TransferState &Transfer, size_t n);
 
 /**
- * Takes back all that was asked of a peer, so that it is asked elsewhere.
+ * Cancels all requests to a peer, so that the chunks are requested elsewhere.
  * @param Transfer State to change.
  * @param Peer The peer.
  */
-void releaseAsked(TransferState &Transfer, ChunkPeer &Peer);
+void cancelPeerRequests(TransferState &Transfer, ChunkPeer &Peer);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/weights/origin_draw.cpp
+++ b/packages/core/src/weights/origin_draw.cpp
@@ -1,4 +1,4 @@
-/** @file origin_draw.cpp Which host draws which chunk from the origin. */
+/** @file origin_draw.cpp Fetching chunks from the origin. */
 
 #include "weights/origin_draw_func.h"
 
@@ -9,43 +9,43 @@
 
 namespace {
 
-/** Chunks asked of the origin at a time. */
-constexpr size_t MaxDrawing = 2;
-/** Wait before a chunk that the origin failed to give is asked for again. */
+/** Maximum of concurrent requests to the origin. */
+constexpr size_t MaxOriginRequests = 2;
+/** Delay before a chunk is requested again after a failure of the origin. */
 constexpr Millis OriginRetry{200};
 /**
- * Ranks that a chunk waits longer where a linked agent said that it brings it.
- * That agent's request may stand in a queue; should it come to nothing, the
- * claim only delays the next rank.
+ * Ranks that this host is put back for a chunk that a linked agent announced to
+ * be fetching. The request of that agent may be queued at the origin; if it
+ * fails, the announcement has only delayed the next rank.
  */
 constexpr size_t ClaimRanks = 4;
-/** Time for a lost link to come back before its host counts as gone. */
-constexpr Millis GoneTime{1000};
-/** Ranks before this host that are looked at one by one. */
+/** Time after which the host behind a lost link counts as gone. */
+constexpr Millis LostLinkTimeout{1000};
+/** Maximum rank at which the hosts before this one are checked one by one. */
 constexpr size_t MaxKnownRanks = 4;
-/** Ranks that take their turn for an overdue chunk in one takeover time. */
+/** Ranks that take over an overdue chunk within one takeover delay. */
 constexpr size_t RanksWhenOverdue = 4;
 
-/** Position of the host that draws a chunk first. */
-size_t firstDrawer(const TransferState &Transfer, size_t n) {
+/** Gives the position of the host that has to fetch a chunk first. */
+size_t firstFetcher(const TransferState &Transfer, size_t n) {
   return Transfer.Plan.Hosts.empty() ? 0 : n % Transfer.Plan.Hosts.size();
 }
 
-/** Says whether a host had a link to this one and lost it a while ago. */
+/** Says whether the link to a host was lost and has not come back in time. */
 bool isGone(const TransferState &Transfer, const HostName &Name,
             TimePoint Now) {
-  const auto it = Transfer.Gone.find(Name);
-  return it != Transfer.Gone.end() && Now - it->second >= GoneTime;
+  const auto it = Transfer.LostPeers.find(Name);
+  return it != Transfer.LostPeers.end() && Now - it->second >= LostLinkTimeout;
 }
 
 /**
- * This host's rank without those before it that are gone, which are seen by
- * their links, and without those that it stands in for already.
+ * Gives the rank of this host for a chunk, not counting hosts before it whose
+ * links are lost; 0 when this host already substitutes for the first one.
  */
-size_t ownDrawRank(const TransferState &Transfer, size_t n, TimePoint Now) {
-  const size_t Rank = drawRank(Transfer.Plan, n);
-  const size_t First = firstDrawer(Transfer, n);
-  if (Transfer.DrawsFor.contains(First))
+size_t ownOriginRank(const TransferState &Transfer, size_t n, TimePoint Now) {
+  const size_t Rank = originRank(Transfer.Plan, n);
+  const size_t First = firstFetcher(Transfer, n);
+  if (Transfer.SubstitutedHosts.contains(First))
     return 0;
   if (Rank > MaxKnownRanks)
     return Rank;
@@ -58,75 +58,81 @@
 }
 
 /**
- * Says whether a rank takes over a chunk that stays out although most others
- * are there. Whoever draws it has a link far narrower than the others', and all
- * hosts would wait for it; drawn twice it costs one chunk.
+ * Says whether a rank may take over a chunk that is still missing everywhere a
+ * while after most others became available. The host that fetches it then has a
+ * much slower link than the others, and all hosts would wait for it. Fetching
+ * it twice costs the transfer of one chunk.
  */
 bool isOverdue(const TransferState &Transfer, size_t Rank, TimePoint Now) {
-  if (!Transfer.MostSeen)
+  if (!Transfer.MostSeenSince)
     return false;
-  return Now - *Transfer.MostSeen >=
-         Transfer.Options.TakeOver + Transfer.Options.TakeOver *
-                                         static_cast<int64_t>(Rank) /
-                                         static_cast<int64_t>(RanksWhenOverdue);
+  return Now - *Transfer.MostSeenSince >=
+         Transfer.Options.TakeoverDelay +
+             Transfer.Options.TakeoverDelay * static_cast<int64_t>(Rank) /
+                 static_cast<int64_t>(RanksWhenOverdue);
 }
 
 /**
- * Says whether this host draws a chunk from the origin. The first rank does
- * so at once, and so does the next one when it sees that the link of the first
- * is gone. A host may also be cut off from the origin, or too far away to be
- * seen: then no new chunk comes into view any more, and rank after rank takes
- * over. As long as new chunks do come, the origin is at work and the chunk may
- * be queued there. One that was seen is held by somebody and will come nearer.
+ * Says whether this host may fetch a chunk from the origin. The first rank does
+ * so at once, and so does the next one when the link to the first is lost. A
+ * host may also be cut off from the origin, or have no link to this one: when
+ * no new chunk is announced anymore, rank after rank takes over. While new
+ * chunks are announced, the origin is working and the chunk may be queued
+ * there. A chunk that was announced is held by some host and will spread.
  */
-bool mayDraw(const TransferState &Transfer, size_t n, TimePoint Now) {
+bool mayFetchFromOrigin(const TransferState &Transfer, size_t n,
+                        TimePoint Now) {
   if (!Transfer.Options.FromPeers)
     return true;
-  if (!planned(Transfer.Plan) || Now < Transfer.SettledAt)
+  if (!planned(Transfer.Plan) || Now < Transfer.LinksSettledAt)
     return false;
   const ChunkProgress &Chunk = Transfer.Chunks[n];
-  const bool Claimed = Chunk.ComingHere + Chunk.ComingOutside > 0;
-  const size_t Rank = ownDrawRank(Transfer, n, Now) + (Chunk.Seen ? 1 : 0) +
+  const bool Claimed = Chunk.ImportersInDomain + Chunk.ImportersElsewhere > 0;
+  const size_t Rank = ownOriginRank(Transfer, n, Now) + (Chunk.Seen ? 1 : 0) +
                       (Claimed ? ClaimRanks : 0);
-  const bool Quiet = Now - Transfer.LastNews >=
-                     Transfer.Options.TakeOver * static_cast<int64_t>(Rank);
+  const bool Quiet =
+      Now - Transfer.LastNewsAt >=
+      Transfer.Options.TakeoverDelay * static_cast<int64_t>(Rank);
   return (Quiet || isOverdue(Transfer, Rank, Now)) &&
          !hasUsableHolder(Transfer, n, false, Now);
 }
 
 } // namespace
 
-void askOrigin(TransferState &Transfer, TimePoint Now, Effects &Out) {
+void requestFromOrigin(TransferState &Transfer, TimePoint Now, Effects &Out) {
   for (const size_t n : Transfer.Missing) {
-    if (Transfer.Drawing >= MaxDrawing)
+    if (Transfer.OriginRequests >= MaxOriginRequests)
       return;
     ChunkProgress &Chunk = Transfer.Chunks[n];
-    if (Chunk.Asked || Now < Chunk.RetryAt || !mayDraw(Transfer, n, Now))
+    if (Chunk.Requested || Now < Chunk.RetryAt ||
+        !mayFetchFromOrigin(Transfer, n, Now))
       continue;
-    Chunk.Asked = true;
-    noteComing(Transfer, n);
-    ++Transfer.Drawing;
+    Chunk.Requested = true;
+    markImporting(Transfer, n);
+    ++Transfer.OriginRequests;
     Out.push_back(FetchFromOrigin{chunkRef(Transfer, n)});
-    const size_t Rank = planned(Transfer.Plan) ? drawRank(Transfer.Plan, n) : 0;
+    const size_t Rank =
+        planned(Transfer.Plan) ? originRank(Transfer.Plan, n) : 0;
     if (Rank == 0 || !Transfer.Options.FromPeers)
       continue;
-    // Its other chunks are drawn without another wait for each of them.
-    Transfer.DrawsFor.insert(firstDrawer(Transfer, n));
+    // Its other chunks are fetched without another wait for each of them.
+    Transfer.SubstitutedHosts.insert(firstFetcher(Transfer, n));
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                          "Drawing chunk " + std::to_string(n) + " as rank " +
-                              std::to_string(Rank) + "."});
+                          "fetching chunk " + std::to_string(n) +
+                              " from the origin as rank " +
+                              std::to_string(Rank)});
   }
 }
 
-void drawFailed(TransferState &Transfer, size_t n, TimePoint Now) {
+void recordOriginFailure(TransferState &Transfer, size_t n, TimePoint Now) {
   Transfer.Chunks[n].RetryAt = Now + OriginRetry;
-  // The origin may be down for everybody, so that nothing shows of the other
-  // drawers. Should each host stand in for all of them, the origin would have
-  // to send every chunk to every host when it is back.
-  Transfer.LastNews = Now;
-  Transfer.DrawsFor.clear();
-  if (Transfer.MostSeen)
-    Transfer.MostSeen = Now;
+  // The origin may be down for all hosts, which looks as if all other fetchers
+  // had failed. If each host took over for all of them, the origin would have
+  // to send every chunk to every host once it is back.
+  Transfer.LastNewsAt = Now;
+  Transfer.SubstitutedHosts.clear();
+  if (Transfer.MostSeenSince)
+    Transfer.MostSeenSince = Now;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/origin_draw_func.h
+++ b/packages/core/src/weights/origin_draw_func.h
@@ -1,7 +1,7 @@
-/** @file origin_draw_func.h Which host draws which chunk from the origin.
+/** @file origin_draw_func.h Fetching chunks from the origin.
  *
- * Each chunk has a rank of hosts. The first one draws it at once; the others
- * take over one after the other when it does not come into view.
+ * The hosts are ranked for each chunk. The first one fetches it at once; the
+ * others take over one after the other if nobody announces it.
  */
 
 #ifndef JACINTHPOND_CORE_ORIGIN_DRAW_FUNC_H
@@ -12,20 +12,22 @@
 namespace jacinthpond {
 
 /**
- * Asks the origin for the missing chunks that are this host's to draw.
+ * Requests from the origin the missing chunks that it is this host's turn to
+ * fetch.
  * @param Transfer State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void askOrigin(TransferState &Transfer, TimePoint Now, Effects &Out);
+void requestFromOrigin(TransferState &Transfer, TimePoint Now, Effects &Out);
 
 /**
- * The origin gave nothing, or something else, for a chunk of this set.
+ * Records that the origin sent nothing, or wrong content, for a chunk, and
+ * delays the next attempt.
  * @param Transfer State to change.
  * @param n Index of the chunk.
  * @param Now Current time.
  */
-void drawFailed(TransferState &Transfer, size_t n, TimePoint Now);
+void recordOriginFailure(TransferState &Transfer, size_t n, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/weights/peer_pace.cpp
+++ b/packages/core/src/weights/peer_pace.cpp
@@ -1,4 +1,4 @@
-/** @file peer_pace.cpp How quickly peers give chunks. */
+/** @file peer_pace.cpp How quickly peers send chunks. */
 
 #include "weights/peer_pace_func.h"
 
@@ -11,62 +11,63 @@
 
 namespace {
 
-/** How long a peer is left alone after a stall; it may just be busy. */
+/** How long a peer is avoided after a stall; it may just be busy. */
 constexpr Millis StallAvoidTime{1000};
-/** Silence of a peer with requests open after which it counts as stalled. */
-constexpr Millis StallLimit{4000};
+/** Time without data after which a peer with open requests is stalled. */
+constexpr Millis StallTimeout{4000};
 /**
- * Times that a chunk alone on the own link takes, after which its sender counts
- * as slow: a peer that serves several others at a time is not slow yet.
+ * Multiple of the time of one chunk on an idle own link, after which its sender
+ * counts as slow. A peer that serves several others at a time is not slow yet.
  */
-constexpr double SlowChunkTimes = 10;
-/** Weight of the usual time of a chunk against the last one's. */
+constexpr double SlowChunkFactor = 10;
+/** Weight of the old average of chunk times against a new sample's 1. */
 constexpr int OldTimeWeight = 3;
 
-/** Time after which a chunk is asked for elsewhere; 0: there is no bound. */
-Duration slowLimit(const TransferState &Transfer) {
-  if (!comesInParts(Transfer))
+/** Gives the time after which a chunk is requested elsewhere; 0: no limit. */
+Duration slowChunkTime(const TransferState &Transfer) {
+  if (!isFetchedInParts(Transfer))
     return Duration{0};
   const std::chrono::duration<double> Alone(
       static_cast<double>(Transfer.ChunkBytes) /
       Transfer.Options.LinkBytesPerSecond);
-  return std::chrono::duration_cast<Duration>(Alone * SlowChunkTimes);
+  return std::chrono::duration_cast<Duration>(Alone * SlowChunkFactor);
 }
 
-/** Says whether chunks of a peer come as quickly as they should. */
+/** Says whether chunks of a peer arrive in at most half of slowChunkTime(). */
 bool isFast(const TransferState &Transfer, const ChunkPeer &Peer) {
   return Peer.ChunkTime.count() > 0 &&
-         Peer.ChunkTime * 2 <= slowLimit(Transfer);
+         Peer.ChunkTime * 2 <= slowChunkTime(Transfer);
 }
 
-/** Says whether another peer holds a chunk and lately gave others quickly. */
+/** Says whether another peer holds a chunk and has sent others quickly. */
 bool hasFasterHolder(const TransferState &Transfer, const ChunkPeer &Than,
                      size_t n, TimePoint Now) {
   return std::ranges::any_of(Transfer.Peers, [&](const auto &Row) {
     const ChunkPeer &Peer = Row.second;
     return &Peer != &Than && Now >= Peer.AvoidUntil && isFast(Transfer, Peer) &&
-           holds(Peer, Transfer.Set, n);
+           hasAnnounced(Peer, Transfer.Set, n);
   });
 }
 
 } // namespace
 
-bool ownLinkIsSlow(const TransferState &Transfer) {
-  const auto Known = [](const auto &Row) {
+bool isOwnLinkSlow(const TransferState &Transfer) {
+  const auto IsKnown = [](const auto &Row) {
     return Row.second.ChunkTime.count() > 0;
   };
-  return comesInParts(Transfer) && std::ranges::any_of(Transfer.Peers, Known) &&
+  return isFetchedInParts(Transfer) &&
+         std::ranges::any_of(Transfer.Peers, IsKnown) &&
          std::ranges::none_of(Transfer.Peers, [&](const auto &Row) {
            return isFast(Transfer, Row.second);
          });
 }
 
-Duration expectedTime(const ChunkPeer &Peer) {
+Duration expectedChunkTime(const ChunkPeer &Peer) {
   return std::max(Peer.ChunkTime, Duration{1}) *
-         static_cast<int64_t>(Peer.Asked.size() + 1);
+         static_cast<int64_t>(Peer.Requested.size() + 1);
 }
 
-void learnChunkTime(ChunkPeer &Peer, Duration Took) {
+void recordChunkTime(ChunkPeer &Peer, Duration Took) {
   Peer.ChunkTime =
       Peer.ChunkTime.count() == 0
           ? Took
@@ -74,45 +75,46 @@
 }
 
 /**
- * Leaves stalled peers alone. A peer that is frozen, or behind a link that
- * went silent, keeps requests open without end; the heartbeat notices only
- * some of these, and a peer may answer heartbeats while its uplink is stuck.
+ * A peer that is frozen, or behind a link that went silent, would keep requests
+ * open forever. Heartbeats detect only some of these cases: a peer may answer
+ * them while its uplink is stuck.
  */
-void dropStalled(TransferState &Transfer, TimePoint Now, Effects &Out) {
+void avoidStalledPeers(TransferState &Transfer, TimePoint Now, Effects &Out) {
   for (auto &[Link, Peer] : Transfer.Peers) {
-    if (Peer.Asked.empty() || Now - Peer.LastData < StallLimit)
+    if (Peer.Requested.empty() || Now - Peer.LastData < StallTimeout)
       continue;
     ++Transfer.Counters.Stalls;
     Peer.AvoidUntil = Now + StallAvoidTime;
-    releaseAsked(Transfer, Peer);
+    cancelPeerRequests(Transfer, Peer);
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                          "Chunks of " + Peer.Name.Value +
-                              " stay out; asking elsewhere."});
+                          "peer " + Peer.Name.Value +
+                              " sends no chunks, requesting them elsewhere"});
   }
 }
 
 /**
- * Asks elsewhere for chunks that trickle in. The link of a peer may have become
- * far narrower than the others'; it still answers, so that it does not count as
- * stalled, and the last chunks of all hosts would wait for it. Where everybody
- * is slow the own link is, and asking more would only fill it.
+ * The link of a peer may become much slower than those of others. As the peer
+ * still sends data it does not count as stalled, and all hosts would wait for
+ * it for their last chunks. When all peers are slow, the own link is the cause,
+ * and more requests would only congest it.
  */
-void passBySlowPeers(TransferState &Transfer, TimePoint Now, Effects &Out) {
-  const Duration Limit = slowLimit(Transfer);
+void reassignSlowChunks(TransferState &Transfer, TimePoint Now, Effects &Out) {
+  const Duration Limit = slowChunkTime(Transfer);
   if (Limit.count() == 0)
     return;
   for (auto &Row : Transfer.Peers) {
     ChunkPeer &Peer = Row.second;
     std::vector<size_t> Slow;
-    std::ranges::copy_if(Peer.Asked, std::back_inserter(Slow), [&](size_t n) {
-      return Now - Transfer.Chunks[n].AskedAt >= Limit &&
-             hasFasterHolder(Transfer, Peer, n, Now);
-    });
+    std::ranges::copy_if(
+        Peer.Requested, std::back_inserter(Slow), [&](size_t n) {
+          return Now - Transfer.Chunks[n].RequestedAt >= Limit &&
+                 hasFasterHolder(Transfer, Peer, n, Now);
+        });
     if (Slow.empty())
       continue;
     for (const size_t n : Slow) {
-      Peer.Asked.erase(n);
-      releaseChunk(Transfer, n);
+      Peer.Requested.erase(n);
+      cancelChunkRequest(Transfer, n);
     }
     Peer.ChunkTime = Limit;
     Peer.AvoidUntil = Now + StallAvoidTime;
--- a/packages/core/src/weights/peer_pace_func.h
+++ b/packages/core/src/weights/peer_pace_func.h
@@ -1,8 +1,8 @@
-/** @file peer_pace_func.h How quickly peers give chunks.
+/** @file peer_pace_func.h How quickly peers send chunks.
  *
- * A link may become far narrower than the settings say, a host may freeze, an
- * uplink may be stuck while heartbeats still come. Whoever waits for such a
- * peer holds up its own load, and as a source everybody's.
+ * A link may become much slower than configured, a host may freeze, or an
+ * uplink may be stuck while heartbeats still arrive. A host that waits for such
+ * a peer delays its own load, and that of all hosts that fetch chunks from it.
  */
 
 #ifndef JACINTHPOND_CORE_PEER_PACE_FUNC_H
@@ -13,42 +13,44 @@
 namespace jacinthpond {
 
 /**
- * Says whether chunks come slowly from everybody: the own link has become
- * narrower than the settings say.
+ * Says whether chunks arrive slowly from all peers, so that the own link must
+ * be slower than configured.
  * @param Transfer The state.
- * @return False while no peer has given any.
+ * @return False while no peer has sent a chunk.
  */
-bool ownLinkIsSlow(const TransferState &Transfer);
+bool isOwnLinkSlow(const TransferState &Transfer);
 
 /**
- * Gives the time until one more chunk would come from a peer.
+ * Estimates the time until one more chunk requested from a peer arrives.
  * @param Peer The peer.
- * @return The time; next to nothing for one that has given none yet.
+ * @return The time; close to 0 for a peer that has sent no chunk yet.
  */
-Duration expectedTime(const ChunkPeer &Peer);
+Duration expectedChunkTime(const ChunkPeer &Peer);
 
 /**
- * A chunk came from a peer.
+ * Adds a chunk to the average time that a peer takes.
  * @param Peer State to change.
- * @param Took Time since it was asked for.
+ * @param Took Time since the chunk was requested.
  */
-void learnChunkTime(ChunkPeer &Peer, Duration Took);
+void recordChunkTime(ChunkPeer &Peer, Duration Took);
 
 /**
- * Leaves peers alone that give nothing for a long time.
+ * Cancels the requests to peers that have sent nothing for a long time, and
+ * avoids these peers for a while.
  * @param Transfer State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void dropStalled(TransferState &Transfer, TimePoint Now, Effects &Out);
+void avoidStalledPeers(TransferState &Transfer, TimePoint Now, Effects &Out);
 
 /**
- * Asks elsewhere for chunks that trickle in, where somebody is faster.
+ * Cancels requests that take too long and that a faster peer can serve, so that
+ * they are requested there.
  * @param Transfer State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void passBySlowPeers(TransferState &Transfer, TimePoint Now, Effects &Out);
+void reassignSlowChunks(TransferState &Transfer, TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/weights/rollout.cpp
+++ b/packages/core/src/weights/rollout.cpp
@@ -1,4 +1,4 @@
-/** @file rollout.cpp In which order the workers of a model load. */
+/** @file rollout.cpp Order in which the workers of a model load weights. */
 
 #include "weights/rollout_func.h"
 
@@ -17,26 +17,26 @@
 
 namespace {
 
-/** Workers before this one that it keeps links to. */
+/** Number of predecessors to keep links to. */
 constexpr size_t MaxPredecessors = 2;
-/** Time without work in view after which a class counts as idle. */
+/** Time without work at any linked agent after which a class is idle. */
 constexpr Millis IdleTime{3000};
-/** Share of the workers that serve routes in a rollout: the time for a change
- * of weights allows three turns, each as long as the longest answers, when the
- * first one begins to drain while the last chunks come. */
+/** Share of the workers that keep serving routes during a rollout. The time for
+ * a change of weights then allows three turns, each as long as the longest
+ * answers, if the first one drains while the last chunks arrive. */
 constexpr double RouteServingShare = 0.66;
-/** Time before the set is whole at which draining begins. */
+/** How long before the expected arrival of the last chunk draining begins. */
 constexpr Millis DrainAhead{1200};
-/** Part of the serving share that is kept while a class is idle. */
+/** Factor for the serving share while a class is idle. */
 constexpr double IdleShareFactor = 0.5;
-/** Wait for one that does not answer, beyond the silence of its link. */
-constexpr Millis AbsentLimit{1000};
+/** Wait for an unreachable worker, beyond the timeouts of its link. */
+constexpr Millis AbsentTimeout{1000};
 
 /**
- * Workers of this model that may be without a loaded set at a time. While the
- * class is idle the share that has to serve is halved.
+ * Gives how many workers of this model may load at the same time. While the
+ * class is idle, the share that has to serve is halved.
  */
-size_t loadsAtATime(const AgentState &Agent, bool Idle) {
+size_t maxConcurrentLoads(const AgentState &Agent, bool Idle) {
   const Document &Doc = *Agent.View.InForce;
   const Worker *Self = findWorker(Doc, Agent.Fleet.Self.Name);
   double Share = 0;
@@ -56,42 +56,44 @@
   return std::max(size_t{1}, static_cast<size_t>((1.0 - Share) * All));
 }
 
+/** Says whether a worker has running or queued requests. */
 bool hasWork(const WorkerLoad &Load) { return Load.Running + Load.Waiting > 0; }
 
-/** Notes when this worker or an agent in view last had work. */
-void noteWork(AgentState &Agent, TimePoint Now) {
+/** Updates the time at which this worker or a linked agent last had work. */
+void updateLastWork(AgentState &Agent, TimePoint Now) {
   const bool Work = hasWork(Agent.Fleet.Load) ||
-                    Agent.Counters.Started != Agent.Rollout.StartedBefore ||
+                    Agent.Counters.Started != Agent.Rollout.LastStartedCount ||
                     std::ranges::any_of(Agent.Fleet.Links, [](const auto &Row) {
                       return Row.second.Peer.Sender == Role::Agent &&
                              hasWork(Row.second.Load);
                     });
-  Agent.Rollout.StartedBefore = Agent.Counters.Started;
+  Agent.Rollout.LastStartedCount = Agent.Counters.Started;
   if (Work)
-    Agent.Rollout.LastWork = Now;
+    Agent.Rollout.LastWorkAt = Now;
 }
 
-/** The linked agents are a sample of the class: all must have been idle. */
-bool classIsIdle(const AgentState &Agent, TimePoint Now) {
-  return Now - Agent.Rollout.LastWork >= IdleTime;
+/** Says whether the class is idle, judged by all linked agents as a sample. */
+bool isClassIdle(const AgentState &Agent, TimePoint Now) {
+  return Now - Agent.Rollout.LastWorkAt >= IdleTime;
 }
 
-/** Finds a ready link to a peer, whoever opened it. */
-const PeerLink *linkTo(const Membership &Fleet, const HostName &Name) {
+/** Finds the ready link to a peer, whichever side opened it. */
+const PeerLink *findReadyLink(const Membership &Fleet, const HostName &Name) {
   const auto it = std::ranges::find_if(Fleet.Links, [&](const auto &Row) {
     return Row.second.State == LinkState::Ready && Row.second.Peer.Name == Name;
   });
   return it == Fleet.Links.end() ? nullptr : &it->second;
 }
 
-bool servesWanted(const AgentState &Agent, const PeerLink *Link) {
+/** Says whether a worker serves the wanted set. */
+bool isServingWanted(const AgentState &Agent, const PeerLink *Link) {
   return Link != nullptr && Link->Load.Weights == Agent.Weights.Wanted.Set &&
          (Link->Load.State == WorkerState::Warming ||
           Link->Load.State == WorkerState::Serving);
 }
 
-/** Says whether the chunks that are missing come within a moment. */
-bool nearlyWhole(const TransferState &Transfer) {
+/** Says whether the missing chunks are expected within DrainAhead. */
+bool isNearlyComplete(const TransferState &Transfer) {
   if (Transfer.BytesPerSecond == 0 || Transfer.Digests.empty())
     return false;
   const uint64_t Left = Transfer.Missing.size() * Transfer.ChunkBytes;
@@ -99,48 +101,50 @@
          static_cast<uint64_t>(DrainAhead.count());
 }
 
+/** Resets the state of the wait for another set. */
 void beginRollout(RolloutState &Rollout, const Digest &Set) {
   Rollout.Set = Set;
-  Rollout.Seen.clear();
+  Rollout.Predecessors.clear();
 }
 
 /**
- * Notes what is seen of a worker. A link that comes and goes is no progress.
+ * Updates the observed state of a predecessor. A link that is lost and opened
+ * again is no progress.
  */
-const PredecessorView &notePredecessor(RolloutState &Rollout,
-                                       const HostName &Name,
-                                       const PeerLink *Link, TimePoint Now) {
+const PredecessorView &updatePredecessor(RolloutState &Rollout,
+                                         const HostName &Name,
+                                         const PeerLink *Link, TimePoint Now) {
   PredecessorView &View =
-      Rollout.Seen.try_emplace(Name, PredecessorView{Now, 0, Now})
+      Rollout.Predecessors.try_emplace(Name, PredecessorView{Now, 0, Now})
           .first->second;
   if (Link == nullptr)
     return View;
   View.LastAnswered = Now;
-  // It held all of the set before until it heard of this one.
-  const bool Began = Link->Load.ChunksHeld < View.MostHeld / 2;
-  if (Began || Link->Load.ChunksHeld > View.MostHeld) {
+  // Until it learnt of this set, it reported the chunks of the previous one.
+  const bool NewSet = Link->Load.ChunksHeld < View.MostHeld / 2;
+  if (NewSet || Link->Load.ChunksHeld > View.MostHeld) {
     View.MostHeld = Link->Load.ChunksHeld;
     View.LastProgress = Now;
   }
   return View;
 }
 
-/** How far the wait for a worker before this one has come. */
+/** State of the wait for a predecessor. */
 enum class Wait : uint8_t { Done, Pending, GivenUp };
 
 /**
- * Looks at a worker before this one. A dead or cut off worker never answers,
- * one whose engine is broken never serves: both would hold up their chain for
- * ever, so each is given up after a limit.
+ * Checks whether to wait for a predecessor any longer. A dead or cut off worker
+ * never answers, and one with a broken engine never serves. Both would block
+ * their chain forever, so the wait ends after a timeout.
  */
-Wait waitFor(RolloutState &Rollout, const AgentState &Agent,
-             const HostName &Name, TimePoint Now) {
-  const PeerLink *Link = linkTo(Agent.Fleet, Name);
-  if (servesWanted(Agent, Link))
+Wait checkPredecessor(RolloutState &Rollout, const AgentState &Agent,
+                      const HostName &Name, TimePoint Now) {
+  const PeerLink *Link = findReadyLink(Agent.Fleet, Name);
+  if (isServingWanted(Agent, Link))
     return Wait::Done;
-  const PredecessorView &View = notePredecessor(Rollout, Name, Link, Now);
+  const PredecessorView &View = updatePredecessor(Rollout, Name, Link, Now);
   const Duration Absent =
-      Agent.Fleet.Times.Silence + Agent.Fleet.Times.Reconnect + AbsentLimit;
+      Agent.Fleet.Times.Silence + Agent.Fleet.Times.Reconnect + AbsentTimeout;
   const bool Leaving =
       Link != nullptr && Link->Load.State == WorkerState::Leaving;
   const bool Over =
@@ -150,28 +154,29 @@
 }
 
 /**
- * Says whether an order can do no harm although peers were not asked yet what
- * is wanted: only this agent orders at an engine that its own host alone may
- * command, and it serves nothing until then. After a start of everything all
- * callers wait for these orders.
+ * Says whether a load order is safe before peers were asked for the
+ * configuration in force: the engine takes orders only from its own host and
+ * has no weights loaded. After a restart of the whole system, all callers wait
+ * for these orders.
  */
-bool hasNothingToLose(const AgentState &Agent) {
+bool isLoadHarmless(const AgentState &Agent) {
   return Agent.Weights.AtEngine && Agent.Weights.Loaded.Value.empty();
 }
 
+/** Says whether this agent's view is recent enough to order a load. */
 bool mayOrder(const AgentState &Agent) {
-  return viewIsFresh(Agent.Fleet) || hasNothingToLose(Agent);
+  return viewIsFresh(Agent.Fleet) || isLoadHarmless(Agent);
 }
 
 /**
- * Says whether it is this worker's turn. All workers before it are looked at
- * each time, so that the limits run while the chunks still come.
+ * Says whether it is this worker's turn to load. Checks all predecessors each
+ * time, so that their timeouts already run while chunks are still arriving.
  */
 bool isTurnToLoad(AgentState &Agent, TimePoint Now) {
   Wait First = Wait::GivenUp;
-  for (const size_t n : predecessors(Agent, classIsIdle(Agent, Now))) {
+  for (const size_t n : predecessors(Agent, isClassIdle(Agent, Now))) {
     const HostName &Name = Agent.Transfer.Plan.Hosts[n].Name;
-    const Wait One = waitFor(Agent.Rollout, Agent, Name, Now);
+    const Wait One = checkPredecessor(Agent.Rollout, Agent, Name, Now);
     if (First == Wait::GivenUp)
       First = One;
   }
@@ -185,7 +190,7 @@
   const ChunkPlan &Plan = Agent.Transfer.Plan;
   if (!planned(Plan))
     return Found;
-  const size_t Step = loadsAtATime(Agent, Idle);
+  const size_t Step = maxConcurrentLoads(Agent, Idle);
   for (size_t n = Plan.Self; n >= Step && Found.size() < MaxPredecessors;) {
     n -= Step;
     Found.push_back(n);
@@ -200,18 +205,18 @@
   for (const size_t n : Before) {
     const PlanHost &Host = Agent.Transfer.Plan.Hosts[n];
     if (std::ranges::find(Peers, Host.Name, &PeerAddress::Name) == Peers.end())
-      Peers.push_back({Host.Name, Host.At});
+      Peers.push_back({Host.Name, Host.AgentAddress});
   }
   return wantPeers(Agent.Fleet, Peers, Out);
 }
 
 void loadInTurn(AgentState &Agent, TimePoint Now, Effects &Out) {
   WeightsState &Weights = Agent.Weights;
-  noteWork(Agent, Now);
+  updateLastWork(Agent, Now);
   if (Weights.Loaded == Weights.Wanted.Set) {
-    // The engine may have taken them from the agent before this one.
+    // A former incarnation of this agent may have ordered the load.
     Weights.Draining = false;
-    dropFormerChunks(Weights);
+    dropPreviousChunks(Weights);
   }
   const bool Needed = Weights.Loaded != Weights.Wanted.Set &&
                       !Weights.Loading && Agent.BackEndUp && mayOrder(Agent);
@@ -220,15 +225,15 @@
   if (Agent.Rollout.Set != Weights.Wanted.Set)
     beginRollout(Agent.Rollout, Weights.Wanted.Set);
   const bool Turn = isTurnToLoad(Agent, Now);
-  // One that serves nothing takes nothing away by loading at once.
-  const bool Near = Agent.Weights.AtEngine && nearlyWhole(Agent.Transfer);
-  if (!wholeSetHeld(Weights) && !Near) {
-    // The last chunks stay out: a worker that drains for nothing serves on.
+  const bool Near = Agent.Weights.AtEngine && isNearlyComplete(Agent.Transfer);
+  if (!isWantedSetComplete(Weights) && !Near) {
+    // The last chunks do not arrive: serve on rather than drain for nothing.
     Weights.Draining = false;
     return;
   }
   const bool TooOld =
       isTooOldToServe(Weights, formerWeightsTime(Agent.Config), Now);
+  // A worker that serves nothing need not wait for its turn.
   if (mayServe(Weights) && !Turn && !TooOld)
     return;
   if (!Weights.Draining) {
@@ -240,13 +245,13 @@
             " missing=" + std::to_string(Agent.Transfer.Missing.size())});
     refuseWaiting(Agent, ErrorKind::WeightsNotReady, Out);
   }
-  if (!wholeSetHeld(Weights))
+  if (!isWantedSetComplete(Weights))
     return;
-  // An agent that was paused or cut off knows that its view is old; another
-  // may own the host by now. It orders nothing until it has asked its peers.
-  // Runs that nobody waits for any more do not hold the order up.
+  // An agent that was paused or cut off knows that its view is out of date, and
+  // another may own the host by now. It orders nothing until it has asked its
+  // peers. Runs whose callers have gone do not delay the order.
   if (Agent.Gate.Running == 0 && Now >= Weights.NextOrder && mayOrder(Agent))
-    orderLoad(Weights, versionInForce(Agent.View), Out);
+    sendLoadOrder(Weights, versionInForce(Agent.View), Out);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/rollout_func.h
+++ b/packages/core/src/weights/rollout_func.h
@@ -1,14 +1,15 @@
-/** @file rollout_func.h In which order the workers of a model load.
+/** @file rollout_func.h Order in which the workers of a model load weights.
  *
- * Of the n workers of a model, a may be without a loaded set at a time. The
- * fleet order (chunk_plan) is cut into a chains, worker i being followed by
- * worker i + a. A worker loads once the one before it in its chain serves the
- * wanted set, so that each chain has at most one worker out and nobody needs
- * to know more than the workers just before it. The fleet order changes the
- * domain at each step, so that the workers that load together are spread over
- * the domains. While a class is idle half of its serving share is kept, which
- * makes the chains shorter; workers that see it idle at different times may
- * then be out together for a moment.
+ * Of the workers of a model, k may load at the same time. The fleet order
+ * (chunk_plan) is divided into k chains, in which worker i is followed by
+ * worker i + k. A worker loads once its predecessor in the chain serves the
+ * wanted set. So at most one worker of each chain is not serving, and a worker
+ * only needs to know the state of the workers just before it. Neighbours in the
+ * fleet order are in different domains, which spreads the workers that load at
+ * the same time over the domains. While a class is idle, only half of its
+ * serving share is kept, and the chains are shorter. Workers may detect that at
+ * different times, so that for a moment more of them may be loading than
+ * intended.
  */
 
 #ifndef JACINTHPOND_CORE_ROLLOUT_FUNC_H
@@ -21,15 +22,16 @@
 namespace jacinthpond {
 
 /**
- * Gives the workers before this one in its chain, nearest first.
+ * Gives the predecessors of this worker in its chain, nearest first.
  * @param Agent The state.
- * @param Idle Whether the classes that the model serves have no work.
+ * @param Idle Whether the classes served by the model are idle.
  * @return Positions in the fleet order; two at most.
  */
 std::vector<size_t> predecessors(const AgentState &Agent, bool Idle);
 
 /**
- * Keeps links to the agents that chunks and rollout need.
+ * Opens and drops links so that they match the agents needed for exchanging
+ * chunks and for the rollout.
  * @param Agent State to change.
  * @param Out Effects are appended.
  * @return Links that were dropped.
@@ -37,7 +39,8 @@
 std::vector<LinkId> followPeers(AgentState &Agent, Effects &Out);
 
 /**
- * Orders the wanted weights once they are whole, in turn and idle.
+ * Drains the worker when it is its turn to load the wanted weights, and orders
+ * the load once all chunks are held and no request is running.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
--- a/packages/core/src/weights/rollout_type.h
+++ b/packages/core/src/weights/rollout_type.h
@@ -1,4 +1,4 @@
-/** @file rollout_type.h In which order the workers of a model load. */
+/** @file rollout_type.h Order in which the workers of a model load weights. */
 
 #ifndef JACINTHPOND_CORE_ROLLOUT_TYPE_H
 #define JACINTHPOND_CORE_ROLLOUT_TYPE_H
@@ -10,19 +10,19 @@
 
 namespace jacinthpond {
 
-/** What was seen of a worker that loads before this one. */
+/** Observed state of a worker that loads before this one. */
 struct PredecessorView {
-  TimePoint LastAnswered; ///< A link to it was ready, or the wait began.
-  uint32_t MostHeld = 0;  ///< Most chunks that it ever held of the set.
-  TimePoint LastProgress; ///< MostHeld rose, or the wait began.
+  TimePoint LastAnswered; ///< Last ready link, or start of the wait.
+  uint32_t MostHeld = 0;  ///< Most chunks of the set that it has held.
+  TimePoint LastProgress; ///< Last rise of MostHeld, or start of the wait.
 };
 
-/** Waiting for the turn to load. */
+/** State of a worker that waits for its turn to load. */
 struct RolloutState {
-  Digest Set; ///< The set that the views below are about.
-  std::map<HostName, PredecessorView> Seen; ///< Workers before this one.
-  TimePoint LastWork;         ///< When work was last seen in the class.
-  uint64_t StartedBefore = 0; ///< Attempts started until the last look.
+  Digest Set; ///< Set to load, which Predecessors is about.
+  std::map<HostName, PredecessorView> Predecessors; ///< By host name.
+  TimePoint LastWorkAt; ///< When the class last had work, as seen here.
+  uint64_t LastStartedCount = 0; ///< Started attempts at the last check.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/transfer.cpp
+++ b/packages/core/src/weights/transfer.cpp
@@ -21,92 +21,100 @@
 
 namespace {
 
-/** Chunks asked of one peer at a time. */
-constexpr size_t MaxAskedOfPeer = 2;
-/** Chunks asked of all peers at a time. */
-constexpr size_t MaxAsked = 12;
+/** Maximum of open requests to one peer. */
+constexpr size_t MaxRequestsPerPeer = 2;
+/** Maximum of open requests to all peers. */
+constexpr size_t MaxRequests = 12;
 constexpr double BytesPerMegabit = 125000;
-/** Part of the own link that weights may use; answers of the back end share
- * it, and would wait behind a full one. */
-constexpr double LinkPart = 0.75;
-/** Idle time of a narrow link that is made up for: answers wait that long
- * behind chunks. Decisions come every 10 ms while chunks move. */
-constexpr double NarrowBurstSeconds = 0.03;
-/** Time that chunks under way may fill the own link: a request or an answer
- * waits that long behind them at most. */
+/** Part of the own link that chunks may use; answers of the back end share the
+ * link and would be delayed if it were full. */
+constexpr double LinkShare = 0.75;
+/** Burst of chunks on a link with a known rate, as sending time; answers may be
+ * delayed by it. Chunks are sent every 10 ms while the exchange is active. */
+constexpr double LinkBurstSeconds = 0.03;
+/** Time for which requested chunks may fill the own link; the maximum delay of
+ * a request or an answer behind them. */
 constexpr double LinkFillSeconds = 0.08;
-/** Size of a part of a chunk: some ms of a narrow link. */
+/** Size of a part of a chunk: a few ms on a slow link. */
 constexpr uint64_t PartBytes = 8192;
-/** Parts of one chunk under way: enough for the way between regions. */
-constexpr uint64_t PartsAhead = 2;
-/** Fewest chunks under way: one arrives while the next one is asked for. */
-constexpr double FewestAsked = 2;
-/** How long a peer is left alone after its first bad chunk. */
+/** Requested parts per chunk: enough for the latency between regions. */
+constexpr uint64_t MaxPartRequests = 2;
+/** Minimum of chunks to request: one arrives while the next is requested. */
+constexpr double MinRequests = 2;
+/** How long a peer is avoided after its first bad chunk; doubled each time. */
 constexpr Millis AvoidTime{3000};
 constexpr uint32_t MaxDoublings = 5;
-/** Ranks that an import waits longer where a linked agent said that it brings
- * the chunk; should that come to nothing, a second import costs one chunk. */
+/** Ranks that an import is put back when a linked agent announced to be
+ * importing the chunk. A second import costs the transfer of one chunk. */
 constexpr size_t ImportClaimRanks = 2;
-/** Time for links to come about after the start. */
+/** Time for links to be established after the start. */
 constexpr Millis SettleTime{400};
-/** Time over which the rate of arrival is measured. */
+/** Window for measuring the rate at which chunks arrive. */
 constexpr Millis RateWindow{1000};
-/** Part of the chunks in view after which the rest counts as overdue soon. */
-constexpr double MostPart = 0.75;
-/** Shortest time between two announcements. */
-constexpr Millis TellPeriod{50};
-
-void noteSeen(TransferState &Transfer, ChunkProgress &Chunk, TimePoint Now) {
+/** Share of chunks that have to be available somewhere before the rest can
+ * become overdue. */
+constexpr double MostSeenShare = 0.75;
+/** Minimum time between two announcements. */
+constexpr Millis AnnouncePeriod{50};
+
+/** Marks a chunk as available at this host or a linked agent. */
+void markSeen(TransferState &Transfer, ChunkProgress &Chunk, TimePoint Now) {
   if (Chunk.Seen)
     return;
   Chunk.Seen = true;
   Chunk.SeenSince = Now;
-  Transfer.LastNews = Now;
-  ++Transfer.Seen;
+  Transfer.LastNewsAt = Now;
+  ++Transfer.SeenCount;
   const auto Most = static_cast<size_t>(
-      MostPart * static_cast<double>(Transfer.Chunks.size()));
-  if (!Transfer.MostSeen && Transfer.Seen >= Most)
-    Transfer.MostSeen = Now;
+      MostSeenShare * static_cast<double>(Transfer.Chunks.size()));
+  if (!Transfer.MostSeenSince && Transfer.SeenCount >= Most)
+    Transfer.MostSeenSince = Now;
 }
 
-/** Adds or takes away what a peer said it holds and brings. */
-void countHolder(TransferState &Transfer, const ChunkPeer &Peer, bool Add,
-                 TimePoint Now) {
+/** Adds the announcement of a peer to the holder counts of the chunks, or
+ * removes it from them. */
+void countAnnounced(TransferState &Transfer, const ChunkPeer &Peer, bool Add,
+                    TimePoint Now) {
   if (Peer.Told.Set != Transfer.Set)
     return;
   const uint32_t Step = Add ? 1 : UINT32_MAX; // Wraps around to -1.
   for (size_t n = 0; n < Transfer.Chunks.size(); ++n) {
     ChunkProgress &Chunk = Transfer.Chunks[n];
     if (hasBit(Peer.Told.Coming, n))
-      (Peer.SameDomain ? Chunk.ComingHere : Chunk.ComingOutside) += Step;
+      (Peer.SameDomain ? Chunk.ImportersInDomain : Chunk.ImportersElsewhere) +=
+          Step;
     if (!hasBit(Peer.Told.Held, n))
       continue;
-    (Peer.SameDomain ? Chunk.HoldersHere : Chunk.HoldersOutside) += Step;
+    (Peer.SameDomain ? Chunk.HoldersInDomain : Chunk.HoldersElsewhere) += Step;
     if (Add)
-      noteSeen(Transfer, Chunk, Now);
+      markSeen(Transfer, Chunk, Now);
   }
 }
 
-/** Leaves a peer alone for a while, twice as long each time. */
+/** Avoids a peer for a while, twice as long each time, and cancels the requests
+ * to it. */
 void avoidPeer(TransferState &Transfer, ChunkPeer &Peer, TimePoint Now) {
   Distrust &Known = Transfer.Distrusted[Peer.Name];
-  Known.Until = Now + AvoidTime * (1U << std::min(Known.Times, MaxDoublings));
-  ++Known.Times;
+  Known.Until =
+      Now + AvoidTime * (1U << std::min(Known.Failures, MaxDoublings));
+  ++Known.Failures;
   Peer.AvoidUntil = Known.Until;
-  releaseAsked(Transfer, Peer);
+  cancelPeerRequests(Transfer, Peer);
 }
 
+/** Gives the reference of a version that chunk references are built from. */
 ChunkRef versionRef(const ModelVersion &Wanted) {
   return {Wanted.Name, Wanted.Version, 0, {}, Wanted.Origin};
 }
 
+/** Resets the exchange to the wanted set. */
 void beginSet(TransferState &Transfer, const WeightsState &Weights,
               TimePoint Now) {
   Transfer.Set = Weights.Wanted.Set;
-  Transfer.Began = Now;
-  Transfer.WholeTold = false;
-  Transfer.Seen = 0;
-  Transfer.MostSeen.reset();
+  Transfer.StartedAt = Now;
+  Transfer.CompletionLogged = false;
+  Transfer.SeenCount = 0;
+  Transfer.MostSeenSince.reset();
   Transfer.Digests = Weights.Wanted.Chunks;
   Transfer.Version = versionRef(Weights.Wanted);
   Transfer.ChunkBytes = Weights.Wanted.ChunkBytes;
@@ -114,49 +122,50 @@
   Transfer.IndexOf.clear();
   Transfer.Missing.clear();
   Transfer.Partial.clear();
-  Transfer.DrawsFor.clear();
-  Transfer.LastNews = Now;
-  Transfer.HeldChanged = true;
+  Transfer.SubstitutedHosts.clear();
+  Transfer.LastNewsAt = Now;
+  Transfer.AnnouncementDue = true;
   for (size_t n = 0; n < Transfer.Digests.size(); ++n) {
     const bool First = Transfer.IndexOf.emplace(Transfer.Digests[n], n).second;
     if (First && !Weights.Held.contains(Transfer.Digests[n]))
       Transfer.Missing.insert(n);
   }
-  // Indices of the old set mean other chunks now; answers that are still on
-  // their way are told apart by their digest.
+  // Indices of the old set now refer to other chunks. Answers that are still on
+  // their way are matched by digest.
   for (auto &[Link, Peer] : Transfer.Peers) {
-    Peer.Asked.clear();
-    Peer.ToldAll = false;
-    countHolder(Transfer, Peer, true, Now);
+    Peer.Requested.clear();
+    Peer.Informed = false;
+    countAnnounced(Transfer, Peer, true, Now);
   }
 }
 
 /**
- * Says whether a chunk may be fetched from another domain: once it is seen
- * there and nobody near holds it, rank after rank.
+ * Says whether this host may fetch a chunk from another domain: when no peer of
+ * this domain holds it, rank after rank from the time it was first seen.
  */
 bool mayImport(const TransferState &Transfer, size_t n, TimePoint Now) {
   const ChunkProgress &Chunk = Transfer.Chunks[n];
   if (!planned(Transfer.Plan) || hasUsableHolder(Transfer, n, true, Now))
     return false;
   const size_t Rank = importRank(Transfer.Plan, n) +
-                      (Chunk.ComingHere > 0 ? ImportClaimRanks : 0);
+                      (Chunk.ImportersInDomain > 0 ? ImportClaimRanks : 0);
   return Now - Chunk.SeenSince >=
-         Transfer.Options.TakeOver * static_cast<int64_t>(Rank);
+         Transfer.Options.TakeoverDelay * static_cast<int64_t>(Rank);
 }
 
-/** Finds the peer from which a chunk would come soonest. */
+/** Gives the peer from which a chunk should arrive first; null if none may be
+ * used. */
 ChunkPeer *pickSource(TransferState &Transfer, size_t n, TimePoint Now,
                       LinkId &Link) {
   const bool Import = mayImport(Transfer, n, Now);
   ChunkPeer *Best = nullptr;
   for (auto &[Id, Peer] : Transfer.Peers) {
-    if (Peer.Asked.size() >= MaxAskedOfPeer || Now < Peer.AvoidUntil ||
-        (!Peer.SameDomain && !Import) || !holds(Peer, Transfer.Set, n))
+    if (Peer.Requested.size() >= MaxRequestsPerPeer || Now < Peer.AvoidUntil ||
+        (!Peer.SameDomain && !Import) || !hasAnnounced(Peer, Transfer.Set, n))
       continue;
-    const auto Compared = Best == nullptr
-                              ? std::weak_ordering::less
-                              : expectedTime(Peer) <=> expectedTime(*Best);
+    const auto Compared =
+        Best == nullptr ? std::weak_ordering::less
+                        : expectedChunkTime(Peer) <=> expectedChunkTime(*Best);
     if (Compared > 0 || (Compared == 0 && nextRandom(Transfer.Random) % 2 == 0))
       continue;
     Best = &Peer;
@@ -165,15 +174,16 @@
   return Best;
 }
 
-/** Missing chunks that some peer holds, rarest first, ties in any order. */
-std::vector<size_t> wantedFromPeers(TransferState &Transfer) {
+/** Lists the missing chunks to request from peers, rarest first and ties in
+ * random order. */
+std::vector<size_t> chunksToRequest(TransferState &Transfer) {
   std::vector<std::pair<uint64_t, size_t>> Keyed;
   for (const size_t n : Transfer.Missing) {
     const ChunkProgress &Chunk = Transfer.Chunks[n];
-    if (Chunk.Asked || Chunk.HoldersHere + Chunk.HoldersOutside == 0)
+    if (Chunk.Requested || Chunk.HoldersInDomain + Chunk.HoldersElsewhere == 0)
       continue;
     const uint64_t Tie = nextRandom(Transfer.Random) & UINT32_MAX;
-    Keyed.emplace_back((uint64_t{Chunk.HoldersHere} << 32U) | Tie, n);
+    Keyed.emplace_back((uint64_t{Chunk.HoldersInDomain} << 32U) | Tie, n);
   }
   std::ranges::sort(Keyed);
   std::vector<size_t> Order(Keyed.size());
@@ -182,26 +192,27 @@
   return Order;
 }
 
-/** Chunks that may be under way to this host. */
-size_t mostAsked(const TransferState &Transfer) {
-  if (!comesInParts(Transfer))
-    return MaxAsked;
-  // Requests, their ends and answers would wait behind chunks.
-  if (ownLinkIsSlow(Transfer))
+/** Gives the maximum of chunks to request from peers at a time. */
+size_t maxRequests(const TransferState &Transfer) {
+  if (!isFetchedInParts(Transfer))
+    return MaxRequests;
+  // More chunks would delay the requests and answers of callers.
+  if (isOwnLinkSlow(Transfer))
     return 1;
   const double Fit = LinkFillSeconds * Transfer.Options.LinkBytesPerSecond /
                      static_cast<double>(Transfer.ChunkBytes);
   return static_cast<size_t>(
-      std::clamp(Fit, FewestAsked, static_cast<double>(MaxAsked)));
+      std::clamp(Fit, MinRequests, static_cast<double>(MaxRequests)));
 }
 
 /**
- * Asks for the parts of a chunk that may be under way at a time. On a narrow
- * link a whole chunk would fill it for as long as an answer may pause; parts
- * leave room between them.
+ * Requests a chunk from a peer, in parts if the rate of the own link is known.
+ * On a slow link, a whole chunk would block answers for as long as they may
+ * pause; between parts they can be sent.
  */
-void askParts(TransferState &Transfer, size_t n, LinkId Link, Effects &Out) {
-  if (!comesInParts(Transfer)) {
+void requestParts(TransferState &Transfer, size_t n, LinkId Link,
+                  Effects &Out) {
+  if (!isFetchedInParts(Transfer)) {
     Out.push_back(SendMessage{Link, ChunkRequest{Transfer.Digests[n]}});
     return;
   }
@@ -210,43 +221,47 @@
     Part = {};
     Part.Link = Link;
   }
-  while (Part.AskedUpTo < Transfer.ChunkBytes &&
-         Part.AskedUpTo < Part.Received + PartsAhead * PartBytes) {
-    Out.push_back(SendMessage{
-        Link, ChunkRequest{Transfer.Digests[n], Part.AskedUpTo, PartBytes}});
-    Part.AskedUpTo += PartBytes;
+  while (Part.RequestedUpTo < Transfer.ChunkBytes &&
+         Part.RequestedUpTo < Part.Received + MaxPartRequests * PartBytes) {
+    Out.push_back(
+        SendMessage{Link, ChunkRequest{Transfer.Digests[n], Part.RequestedUpTo,
+                                       PartBytes}});
+    Part.RequestedUpTo += PartBytes;
   }
 }
 
-void askPeers(TransferState &Transfer, TimePoint Now, Effects &Out) {
+/** Requests missing chunks from peers, up to the limits of open requests. */
+void requestFromPeers(TransferState &Transfer, TimePoint Now, Effects &Out) {
   size_t Open = 0;
   bool Room = false;
   for (const auto &[Link, Peer] : Transfer.Peers) {
-    Open += Peer.Asked.size();
-    Room |= Peer.Asked.size() < MaxAskedOfPeer && Now >= Peer.AvoidUntil;
+    Open += Peer.Requested.size();
+    Room |=
+        Peer.Requested.size() < MaxRequestsPerPeer && Now >= Peer.AvoidUntil;
   }
-  const size_t Most = mostAsked(Transfer);
+  const size_t Most = maxRequests(Transfer);
   if (!Room || Open >= Most)
     return;
-  for (const size_t n : wantedFromPeers(Transfer)) {
+  for (const size_t n : chunksToRequest(Transfer)) {
     LinkId Link;
     ChunkPeer *Peer = pickSource(Transfer, n, Now, Link);
     if (Peer == nullptr)
       continue;
-    if (Peer->Asked.empty())
+    if (Peer->Requested.empty())
       Peer->LastData = Now;
-    Peer->Asked.insert(n);
-    Transfer.Chunks[n].Asked = true;
-    Transfer.Chunks[n].AskedAt = Now;
+    Peer->Requested.insert(n);
+    Transfer.Chunks[n].Requested = true;
+    Transfer.Chunks[n].RequestedAt = Now;
     if (!Peer->SameDomain)
-      noteComing(Transfer, n);
-    askParts(Transfer, n, Link, Out);
+      markImporting(Transfer, n);
+    requestParts(Transfer, n, Link, Out);
     if (++Open >= Most)
       return;
   }
 }
 
-ChunkHave describeHeld(const TransferState &Transfer) {
+/** Builds the announcement of the held and imported chunks. */
+ChunkHave makeAnnouncement(const TransferState &Transfer) {
   ChunkHave Have;
   Have.Set = Transfer.Set;
   Have.Held.assign((Transfer.Digests.size() + 7) / 8, 0);
@@ -254,62 +269,66 @@
   for (size_t n = 0; n < Transfer.Digests.size(); ++n) {
     if (!Transfer.Missing.contains(n))
       setBit(Have.Held, n);
-    else if (Transfer.Chunks[n].Coming)
+    else if (Transfer.Chunks[n].Importing)
       setBit(Have.Coming, n);
   }
   return Have;
 }
 
-void tellHeld(TransferState &Transfer, TimePoint Now, Effects &Out) {
+/** Announces changes to all peers, and the state to peers that are new. */
+void announceChunks(TransferState &Transfer, TimePoint Now, Effects &Out) {
   const bool Due =
-      Transfer.HeldChanged && Now - Transfer.LastTold >= TellPeriod;
+      Transfer.AnnouncementDue && Now - Transfer.AnnouncedAt >= AnnouncePeriod;
   const bool NewPeer = std::ranges::any_of(
-      Transfer.Peers, [](const auto &Row) { return !Row.second.ToldAll; });
+      Transfer.Peers, [](const auto &Row) { return !Row.second.Informed; });
   if (Transfer.Set.Value.empty() || (!Due && !NewPeer))
     return;
-  const ChunkHave Have = describeHeld(Transfer);
+  const ChunkHave Have = makeAnnouncement(Transfer);
   for (auto &[Link, Peer] : Transfer.Peers) {
-    if (!Due && Peer.ToldAll)
+    if (!Due && Peer.Informed)
       continue;
-    Peer.ToldAll = true;
+    Peer.Informed = true;
     Out.push_back(SendMessage{Link, Have});
   }
   if (!Due)
     return;
-  Transfer.HeldChanged = false;
-  Transfer.LastTold = Now;
+  Transfer.AnnouncementDue = false;
+  Transfer.AnnouncedAt = Now;
 }
 
-/** Closes the window of the rate when it has lasted long enough. */
+/** Updates the rate of arrival at the end of each window. */
 void measureRate(TransferState &Transfer, TimePoint Now) {
-  const Duration Passed = Now - Transfer.RateSince;
+  const Duration Passed = Now - Transfer.RateWindowStart;
   if (Passed < RateWindow)
     return;
-  Transfer.BytesPerSecond = Transfer.RateBytes * 1000 /
+  Transfer.BytesPerSecond = Transfer.RateWindowBytes * 1000 /
                             static_cast<uint64_t>(toMillis(Passed).count());
-  Transfer.RateBytes = 0;
-  Transfer.RateSince = Now;
+  Transfer.RateWindowBytes = 0;
+  Transfer.RateWindowStart = Now;
 }
 
-/** Notes that a chunk is here to stay. */
-void holdChunk(TransferState &Transfer, WeightsState &Weights, size_t n,
-               const ChunkBytes &Bytes, TimePoint Now) {
+/** Adds a chunk to those held. */
+void addHeldChunk(TransferState &Transfer, WeightsState &Weights, size_t n,
+                  const ChunkBytes &Bytes, TimePoint Now) {
   Transfer.Missing.erase(n);
   Weights.Held[Transfer.Digests[n]] = Bytes;
-  Transfer.HeldChanged = true;
-  noteSeen(Transfer, Transfer.Chunks[n], Now);
+  Transfer.AnnouncementDue = true;
+  markSeen(Transfer, Transfer.Chunks[n], Now);
 }
 
-/** Takes a chunk that arrived; says whether it can be used. */
-bool takeChunk(TransferState &Transfer, WeightsState &Weights,
-               const Digest &Chunk, const CheckedChunk &Came, TimePoint Now,
-               Effects &Out) {
+/**
+ * Verifies a received chunk, and holds it or stages it at the engine.
+ * @return False when nothing was received or its digest is wrong.
+ */
+bool acceptChunk(TransferState &Transfer, WeightsState &Weights,
+                 const Digest &Chunk, const CheckedChunk &Came, TimePoint Now,
+                 Effects &Out) {
   const auto it = Transfer.IndexOf.find(Chunk);
-  // The version may have changed while the chunk was on its way.
+  // The wanted version may have changed since the request.
   if (it == Transfer.IndexOf.end())
     return true;
   ChunkProgress &Progress = Transfer.Chunks[it->second];
-  Progress.Asked = Progress.Coming = false;
+  Progress.Requested = Progress.Importing = false;
   if (Came.Bytes == nullptr)
     return false;
   if (Came.Actual != Chunk) {
@@ -320,29 +339,29 @@
     ++Transfer.Counters.Repeated;
     return true;
   }
-  Transfer.RateBytes += Came.Bytes->size();
+  Transfer.RateWindowBytes += Came.Bytes->size();
   if (Weights.AtEngine) {
-    // Two sets in the memory of each agent would be most of what the fleet
-    // uses; the engine has room for one beside its own anyway.
-    Progress.Asked = true;
+    // Holding two sets in each agent would dominate the memory use of the
+    // fleet, and the engine has room for a second set anyway.
+    Progress.Requested = true;
     Out.push_back(StageChunk{chunkRef(Transfer, it->second), Came.Bytes});
     return true;
   }
-  holdChunk(Transfer, Weights, it->second, Came.Bytes, Now);
+  addHeldChunk(Transfer, Weights, it->second, Came.Bytes, Now);
   return true;
 }
 
-/** Logs once that all chunks of a set are here. */
-void tellWhole(TransferState &Transfer, TimePoint Now, Effects &Out) {
-  if (Transfer.WholeTold || Transfer.Digests.empty() ||
+/** Logs once that all chunks of a set are held. */
+void logCompletion(TransferState &Transfer, TimePoint Now, Effects &Out) {
+  if (Transfer.CompletionLogged || Transfer.Digests.empty() ||
       !Transfer.Missing.empty())
     return;
-  Transfer.WholeTold = true;
+  Transfer.CompletionLogged = true;
   const TransferCounters &Count = Transfer.Counters;
   Out.push_back(LogNote{
       LogPart::Weights, LogLevel::Info,
       "event=set_whole set=" + Transfer.Set.Value +
-          " ms=" + std::to_string(toMillis(Now - Transfer.Began).count()) +
+          " ms=" + std::to_string(toMillis(Now - Transfer.StartedAt).count()) +
           " from_origin=" + std::to_string(Count.BytesFromOrigin) +
           " from_domain=" + std::to_string(Count.BytesFromPeers) +
           " from_others=" + std::to_string(Count.BytesAcross)});
@@ -358,9 +377,9 @@
   Transfer.Uplink.PerSecond =
       Config.UplinkBytesPerSecond > 0
           ? static_cast<double>(Config.UplinkBytesPerSecond)
-          : LinkPart * Transfer.Options.LinkBytesPerSecond;
+          : LinkShare * Transfer.Options.LinkBytesPerSecond;
   if (Transfer.Options.LinkBytesPerSecond > 0)
-    Transfer.Uplink.BurstSeconds = NarrowBurstSeconds;
+    Transfer.Uplink.BurstSeconds = LinkBurstSeconds;
   Transfer.Across.PerSecond = static_cast<double>(Config.AcrossBytesPerSecond);
   Transfer.Random = rendezvousScore("transfer", Config.Name) | 1U;
   return Transfer;
@@ -377,14 +396,14 @@
 void planTransfer(TransferState &Transfer, const WeightsState &Weights,
                   const Document &Doc, const HostName &Self, TimePoint Now) {
   if (Transfer.Plan.Hosts.empty())
-    Transfer.SettledAt = Now + SettleTime;
+    Transfer.LinksSettledAt = Now + SettleTime;
   Transfer.Plan = makeChunkPlan(Doc, Self);
   const auto Unplanned = [&](const auto &Row) {
     return std::ranges::find(Transfer.Plan.Hosts, Row.first, &PlanHost::Name) ==
            Transfer.Plan.Hosts.end();
   };
   std::erase_if(Transfer.Distrusted, Unplanned);
-  std::erase_if(Transfer.Gone, Unplanned);
+  std::erase_if(Transfer.LostPeers, Unplanned);
   if (Transfer.Set != Weights.Wanted.Set)
     beginSet(Transfer, Weights, Now);
 }
@@ -392,11 +411,11 @@
 void chunkPeerReady(TransferState &Transfer, LinkId Link, const HostName &Name,
                     bool SameDomain) {
   ChunkPeer &Peer = Transfer.Peers[Link];
-  Transfer.Gone.erase(Name);
+  Transfer.LostPeers.erase(Name);
   Peer.Name = Name;
   Peer.SameDomain = SameDomain;
-  Peer.ToldAll = false;
-  // A peer that fails and opens its link again is still left alone.
+  Peer.Informed = false;
+  // A distrusted peer is still avoided after it has opened its link again.
   if (const auto it = Transfer.Distrusted.find(Name);
       it != Transfer.Distrusted.end())
     Peer.AvoidUntil = it->second.Until;
@@ -406,9 +425,9 @@
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
-  releaseAsked(Transfer, it->second);
-  countHolder(Transfer, it->second, false, {});
-  Transfer.Gone.try_emplace(it->second.Name, Now);
+  cancelPeerRequests(Transfer, it->second);
+  countAnnounced(Transfer, it->second, false, {});
+  Transfer.LostPeers.try_emplace(it->second.Name, Now);
   Transfer.Peers.erase(it);
   std::erase_if(Transfer.Uploads,
                 [&](const Upload &One) { return One.Link == Link; });
@@ -419,9 +438,9 @@
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
-  countHolder(Transfer, it->second, false, Now);
+  countAnnounced(Transfer, it->second, false, Now);
   it->second.Told = Have;
-  countHolder(Transfer, it->second, true, Now);
+  countAnnounced(Transfer, it->second, true, Now);
 }
 
 void chunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
@@ -433,9 +452,10 @@
   ChunkPeer &Peer = it->second;
   Peer.LastData = Now;
   if (const auto Index = Transfer.IndexOf.find(Chunk);
-      Index != Transfer.IndexOf.end() && Peer.Asked.erase(Index->second) > 0)
-    learnChunkTime(Peer, Now - Transfer.Chunks[Index->second].AskedAt);
-  if (!takeChunk(Transfer, Weights, Chunk, Came, Now, Out)) {
+      Index != Transfer.IndexOf.end() &&
+      Peer.Requested.erase(Index->second) > 0)
+    recordChunkTime(Peer, Now - Transfer.Chunks[Index->second].RequestedAt);
+  if (!acceptChunk(Transfer, Weights, Chunk, Came, Now, Out)) {
     avoidPeer(Transfer, Peer, Now);
     return;
   }
@@ -450,16 +470,16 @@
   const auto Peer = Transfer.Peers.find(Link);
   const auto Index = Transfer.IndexOf.find(Data.Chunk);
   if (Data.Bytes.empty())
-    return std::string(); // Not held there: the peer is judged for the whole.
+    return std::string(); // Not held there: handled as an empty chunk.
   if (Peer == Transfer.Peers.end() || Index == Transfer.IndexOf.end())
     return std::nullopt;
   const auto it = Transfer.Partial.find(Index->second);
-  // A late part of a request that was given up, or is made elsewhere.
+  // A late part of a request that was cancelled, or moved to another peer.
   if (it == Transfer.Partial.end() || it->second.Link != Link)
     return std::nullopt;
   Peer->second.LastData = Now;
   PartialChunk &Part = it->second;
-  // The sender reads parts on several threads, so they may overtake each other.
+  // The sender reads parts on several threads, so they may arrive out of order.
   if (Part.Parts.emplace(Data.Offset, Data.Bytes).second)
     Part.Received += Data.Bytes.size();
   if (Part.Received >= Data.Total) {
@@ -469,32 +489,32 @@
     Transfer.Partial.erase(it);
     return Whole;
   }
-  askParts(Transfer, Index->second, Link, Out);
+  requestParts(Transfer, Index->second, Link, Out);
   return std::nullopt;
 }
 
 void chunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
                      const Digest &Chunk, const CheckedChunk &Came,
                      TimePoint Now, Effects &Out) {
-  if (Transfer.Drawing > 0)
-    --Transfer.Drawing;
-  if (takeChunk(Transfer, Weights, Chunk, Came, Now, Out)) {
+  if (Transfer.OriginRequests > 0)
+    --Transfer.OriginRequests;
+  if (acceptChunk(Transfer, Weights, Chunk, Came, Now, Out)) {
     Transfer.Counters.BytesFromOrigin += Came.Bytes ? Came.Bytes->size() : 0;
     return;
   }
-  drawFailed(Transfer, Transfer.IndexOf.at(Chunk), Now);
+  recordOriginFailure(Transfer, Transfer.IndexOf.at(Chunk), Now);
 }
 
 void chunkStaged(TransferState &Transfer, WeightsState &Weights,
                  const ChunkRef &Chunk, bool Staged, TimePoint Now) {
   const auto it = Transfer.IndexOf.find(Chunk.Content);
-  // Another version may be wanted by now.
+  // The wanted version may have changed since then.
   if (it == Transfer.IndexOf.end() || Transfer.Version.Model != Chunk.Model ||
       Transfer.Version.Version != Chunk.Version)
     return;
-  Transfer.Chunks[it->second].Asked = false;
+  Transfer.Chunks[it->second].Requested = false;
   if (Staged && Transfer.Missing.contains(it->second))
-    holdChunk(Transfer, Weights, it->second, nullptr, Now);
+    addHeldChunk(Transfer, Weights, it->second, nullptr, Now);
 }
 
 void chunkSpoilt(TransferState &Transfer, WeightsState &Weights,
@@ -504,8 +524,8 @@
     return;
   ++Transfer.Counters.BadChunks;
   Transfer.Missing.insert(it->second);
-  Transfer.Chunks[it->second].Asked = false;
-  Transfer.HeldChanged = true;
+  Transfer.Chunks[it->second].Requested = false;
+  Transfer.AnnouncementDue = true;
 }
 
 std::vector<ChunkRef> missingChunks(const TransferState &Transfer) {
@@ -518,16 +538,16 @@
 void moveChunks(TransferState &Transfer, const WeightsState &Weights,
                 TimePoint Now, Effects &Out) {
   measureRate(Transfer, Now);
-  tellHeld(Transfer, Now, Out);
+  announceChunks(Transfer, Now, Out);
   serveUploads(Transfer, Weights, Now, Out);
-  tellWhole(Transfer, Now, Out);
+  logCompletion(Transfer, Now, Out);
   if (Transfer.Missing.empty() || Weights.Loaded == Weights.Wanted.Set)
     return;
-  dropStalled(Transfer, Now, Out);
-  passBySlowPeers(Transfer, Now, Out);
+  avoidStalledPeers(Transfer, Now, Out);
+  reassignSlowChunks(Transfer, Now, Out);
   if (Transfer.Options.FromPeers)
-    askPeers(Transfer, Now, Out);
-  askOrigin(Transfer, Now, Out);
+    requestFromPeers(Transfer, Now, Out);
+  requestFromOrigin(Transfer, Now, Out);
 }
 
 void describeTransfer(const TransferState &Transfer, WorkerLoad &Load) {
--- a/packages/core/src/weights/transfer_func.h
+++ b/packages/core/src/weights/transfer_func.h
@@ -11,22 +11,23 @@
 namespace jacinthpond {
 
 /**
- * Sets up the exchange.
+ * Creates the state of the exchange, without a plan and a wanted set.
  * @param Config Settings of the process.
  * @return The state.
  */
 TransferState makeTransfer(const Settings &Config);
 
 /**
- * Digests a chunk. Costs time in proportion to its size, so it is called
- * where the chunk arrives and not on the control thread.
+ * Computes the digest of a chunk. Takes time in proportion to its size, so it
+ * is called where the chunk is received and not on the control thread.
  * @param Bytes Content, or null.
  * @return The content with its digest.
  */
 CheckedChunk checkChunk(ChunkBytes Bytes);
 
 /**
- * Follows the published workers and the wanted set.
+ * Updates the plan to the published workers, and starts to fetch the wanted set
+ * if it is another one.
  * @param Transfer State to change.
  * @param Weights Wanted set and held chunks.
  * @param Doc The document in force.
@@ -37,9 +38,9 @@
                   const Document &Doc, const HostName &Self, TimePoint Now);
 
 /**
- * An agent said hello.
+ * Adds an agent whose link is ready to the peers.
  * @param Transfer State to change.
- * @param Link Over which link.
+ * @param Link The link.
  * @param Name Its published name.
  * @param SameDomain Whether it is in this host's domain.
  */
@@ -47,51 +48,58 @@
                     bool SameDomain);
 
 /**
- * A link is gone; what was asked over it is asked elsewhere.
+ * Removes a peer whose link was lost, and cancels the requests to it and from
+ * it.
  * @param Transfer State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
  */
 void chunkPeerGone(TransferState &Transfer, LinkId Link, TimePoint Now);
 
 /**
- * A peer tells which chunks it holds.
+ * Records which chunks a peer announced to hold or to be importing.
  * @param Transfer State to change.
- * @param Link Over which link.
- * @param Have What it said.
+ * @param Link Link to the peer.
+ * @param Have The announcement.
  * @param Now Current time.
  */
 void chunkHaveHeard(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
                     TimePoint Now);
 
 /**
- * A peer's answer to a request arrived.
+ * Handles the answer of a peer to a request for a chunk. A chunk with the right
+ * digest is held or staged at the engine; after a wrong or empty answer the
+ * peer is avoided for a while.
  * @param Transfer State to change.
- * @param Weights The chunk is added where it is good and wanted.
- * @param Link Over which link.
- * @param Chunk Which chunk was asked for.
- * @param Came What came.
+ * @param Weights State that the chunk is added to.
+ * @param Link Link to the peer.
+ * @param Chunk The requested chunk.
+ * @param Came What was received.
  * @param Now Current time.
+ * @param Out Effects are appended.
  */
 void chunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
                    const Digest &Chunk, const CheckedChunk &Came, TimePoint Now,
                    Effects &Out);
 
 /**
- * The origin's answer to a request arrived.
+ * Handles the answer of the origin to a request for a chunk. A chunk with the
+ * right digest is held or staged at the engine; otherwise it is requested again
+ * after a delay.
  * @param Transfer State to change.
- * @param Weights The chunk is added where it is good and wanted.
- * @param Chunk Which chunk was asked for.
- * @param Came What came.
+ * @param Weights State that the chunk is added to.
+ * @param Chunk The requested chunk.
+ * @param Came What was received.
  * @param Now Current time.
+ * @param Out Effects are appended.
  */
 void chunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
                      const Digest &Chunk, const CheckedChunk &Came,
                      TimePoint Now, Effects &Out);
 
 /**
- * Asks for missing chunks, tells peers what is held and sends what the rate
- * allows. Called after each event and each tick.
+ * Requests missing chunks, announces held ones and sends the chunks that the
+ * rate limits allow. Called after each event and each tick.
  * @param Transfer State to change.
  * @param Weights Wanted set and held chunks.
  * @param Now Current time.
@@ -101,24 +109,25 @@
                 TimePoint Now, Effects &Out);
 
 /**
- * A part of a chunk came from a peer; the next one is asked for.
+ * Adds a part of a chunk from a peer, and requests the next one.
  * @param Transfer State to change.
- * @param Link Over which link.
+ * @param Link Link to the peer.
  * @param Data The part.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return The whole chunk, unchecked, once its last part is in; empty when the
- *         peer does not hold it.
+ * @return The whole chunk, not verified, once its last part is received; an
+ * empty string when the peer does not hold it; nothing otherwise.
  */
 std::optional<std::string> partFromPeer(TransferState &Transfer, LinkId Link,
                                         const ChunkData &Data, TimePoint Now,
                                         Effects &Out);
 
 /**
- * A chunk was staged at the engine, or was found there.
+ * Records that a chunk was staged at the engine or found there, or that staging
+ * it failed.
  * @param Transfer State to change.
- * @param Weights Held chunks.
- * @param Chunk Which chunk.
+ * @param Weights Held chunks; the chunk is added.
+ * @param Chunk The chunk.
  * @param Staged False when the engine did not take it.
  * @param Now Current time.
  */
@@ -126,25 +135,25 @@
                  const ChunkRef &Chunk, bool Staged, TimePoint Now);
 
 /**
- * What lies staged of a chunk is damaged: it is fetched again.
+ * Drops a chunk whose staged copy is damaged, so that it is fetched again.
  * @param Transfer State to change.
- * @param Weights Held chunks.
- * @param Chunk Which chunk.
+ * @param Weights Held chunks; the chunk is removed.
+ * @param Chunk The chunk.
  */
 void chunkSpoilt(TransferState &Transfer, WeightsState &Weights,
                  const Digest &Chunk);
 
 /**
- * Names all chunks of the wanted set that are missing.
+ * Lists the missing chunks of the wanted set.
  * @param Transfer The state.
- * @return The chunks.
+ * @return References of the chunks.
  */
 std::vector<ChunkRef> missingChunks(const TransferState &Transfer);
 
 /**
- * Tells how far the exchange has come.
+ * Copies the progress of the exchange into the load report of the worker.
  * @param Transfer The state.
- * @param Load Its fields about chunks are set.
+ * @param Load Report whose fields on chunks are set.
  */
 void describeTransfer(const TransferState &Transfer, WorkerLoad &Load);
 
--- a/packages/core/src/weights/transfer_type.h
+++ b/packages/core/src/weights/transfer_type.h
@@ -18,113 +18,116 @@
 
 namespace jacinthpond {
 
-/** A chunk that arrived, with the digest of what really came. */
+/** A received chunk with the digest of its actual content. */
 struct CheckedChunk {
-  Digest Actual;    ///< Digest of Bytes; empty: nothing came.
+  Digest Actual;    ///< Digest of Bytes; empty: nothing was received.
   ChunkBytes Bytes; ///< Content, or null.
 };
 
-/** What this host knows of one chunk of the wanted set. */
+/** State of one chunk of the wanted set. */
 struct ChunkProgress {
-  bool Asked = false;          ///< Asked of a peer or of the origin.
-  TimePoint AskedAt;           ///< When it was asked of a peer.
-  bool Coming = false;         ///< Asked of the origin or of another domain.
-  uint32_t HoldersHere = 0;    ///< Linked agents of this domain that hold it.
-  uint32_t HoldersOutside = 0; ///< Linked agents elsewhere that hold it.
-  uint32_t ComingHere = 0;     ///< Linked agents of this domain that bring it.
-  uint32_t ComingOutside = 0;  ///< Linked agents elsewhere that bring it.
-  bool Seen = false;           ///< Was held anywhere in view.
-  TimePoint SeenSince;         ///< When it was first seen.
-  TimePoint RetryAt;           ///< Earliest time of the next try at the origin.
+  bool Requested = false; ///< Requested from a peer or the origin, or being
+                          ///< staged at the engine.
+  TimePoint RequestedAt;  ///< When it was requested from a peer.
+  bool Importing = false; ///< Requested from the origin or another domain.
+  uint32_t HoldersInDomain = 0;  ///< Linked agents of this domain that hold it.
+  uint32_t HoldersElsewhere = 0; ///< The same in other domains.
+  uint32_t ImportersInDomain = 0;  ///< Linked agents here that import it.
+  uint32_t ImportersElsewhere = 0; ///< The same in other domains.
+  bool Seen = false;               ///< This host or a linked agent has held it.
+  TimePoint SeenSince;             ///< When Seen was set.
+  TimePoint RetryAt; ///< Earliest time of the next request to the origin.
 };
 
-/** An agent that sent bad chunks; outlives its links. */
+/** Record of an agent that sent bad chunks, kept when its link is lost. */
 struct Distrust {
-  TimePoint Until;    ///< Left alone until then.
-  uint32_t Times = 0; ///< How often that came about.
+  TimePoint Until;       ///< The agent is avoided until then.
+  uint32_t Failures = 0; ///< How often it was distrusted.
 };
 
-/** One linked agent as a partner in the exchange. */
+/** A linked agent that chunks are exchanged with. */
 struct ChunkPeer {
-  HostName Name;             ///< Published name.
-  bool SameDomain = true;    ///< In this host's failure domain.
-  ChunkHave Told;            ///< What it said last that it holds.
-  std::set<size_t> Asked;    ///< Chunks asked of it, not come yet.
-  TimePoint LastData;        ///< Last chunk from it, or first request.
-  Duration ChunkTime{0};     ///< Usual time until a chunk comes; 0: unknown.
-  TimePoint AvoidUntil;      ///< Sent a bad chunk or stalled lately.
-  bool ToldAll = false;      ///< It knows what this host holds.
-  size_t QueuedUploads = 0;  ///< Its requests that wait here.
-  uint64_t BacklogBytes = 0; ///< Sent, and not taken by the network yet.
+  HostName Name;              ///< Published name.
+  bool SameDomain = true;     ///< In this host's failure domain.
+  ChunkHave Told;             ///< Its latest announcement of chunks.
+  std::set<size_t> Requested; ///< Chunks requested from it, not received yet.
+  TimePoint LastData;    ///< Last data from it, or first of the open requests.
+  Duration ChunkTime{0}; ///< Average time of its chunks; 0: unknown.
+  TimePoint AvoidUntil;  ///< Avoided until then after a bad chunk or stall.
+  bool Informed = false; ///< It was sent an announcement of this set.
+  size_t QueuedUploads = 0;  ///< Its requests queued in Uploads.
+  uint64_t BacklogBytes = 0; ///< Bytes sent that the network has not taken yet.
 };
 
-/** A request of a peer that waits for the uplink. */
+/** A queued request of a peer for a chunk. */
 struct Upload {
-  LinkId Link;         ///< Who asked.
-  Digest Chunk;        ///< For what.
-  uint64_t Offset = 0; ///< Where the part begins.
+  LinkId Link;         ///< Link to the peer.
+  Digest Chunk;        ///< The chunk.
+  uint64_t Offset = 0; ///< Start of the requested part.
   uint64_t Length = 0; ///< Its length; 0: to the end of the chunk.
 };
 
-/** A chunk that comes from a peer part by part. */
+/** A chunk that is received from a peer in parts. */
 struct PartialChunk {
-  LinkId Link;                           ///< From whom.
-  std::map<uint64_t, std::string> Parts; ///< Parts so far, by offset.
+  LinkId Link;                           ///< Link to the peer.
+  std::map<uint64_t, std::string> Parts; ///< Received parts, by offset.
   uint64_t Received = 0;                 ///< Bytes in all parts.
-  uint64_t AskedUpTo = 0; ///< End of the last part that was asked for.
+  uint64_t RequestedUpTo = 0; ///< End of the last part that was requested.
 };
 
-/** From the settings. */
+/** Configuration of the exchange. */
 struct TransferOptions {
-  bool FromPeers = true;         ///< False: everything from the origin.
-  Millis TakeOver{1500};         ///< Wait of each further rank.
-  double LinkBytesPerSecond = 0; ///< Rate of the own link; 0: not known.
+  bool FromPeers = true;         ///< False: fetch everything from the origin.
+  Millis TakeoverDelay{1500};    ///< Delay per rank; see mayFetchFromOrigin().
+  double LinkBytesPerSecond = 0; ///< Rate of the own link; 0: unknown.
 };
 
 /** Counters of the exchange. */
 struct TransferCounters {
-  uint64_t BytesFromOrigin = 0; ///< Good chunks drawn from the origin.
-  uint64_t BytesFromPeers = 0;  ///< Good chunks from this domain.
-  uint64_t BytesAcross = 0;     ///< Good chunks from other domains.
+  uint64_t BytesFromOrigin = 0; ///< Valid chunks from the origin.
+  uint64_t BytesFromPeers = 0;  ///< Valid chunks from this domain.
+  uint64_t BytesAcross = 0;     ///< Valid chunks from other domains.
   uint64_t BytesSent = 0;       ///< Chunks sent to peers.
-  uint64_t BadChunks = 0;       ///< Chunks that failed their check.
-  uint64_t Repeated = 0;        ///< Chunks that were held already.
-  uint64_t Stalls = 0;          ///< Peers whose answers stayed out.
+  uint64_t BadChunks = 0;       ///< Chunks with a wrong digest.
+  uint64_t Repeated = 0;        ///< Received chunks that were already held.
+  uint64_t Stalls = 0; ///< Times that a peer with open requests stalled.
 };
 
-/** Exchange of the chunks of the wanted set. */
+/** State of the exchange of the chunks of the wanted set. */
 struct TransferState {
-  TransferOptions Options; ///< From the settings.
-  ChunkPlan Plan;          ///< Who does what.
-  Digest Set;              ///< The set that is exchanged.
-  TimePoint Began;         ///< Since when it is.
-  bool WholeTold = false;  ///< The log says that it is held whole.
-  size_t Seen = 0;         ///< Chunks that were held anywhere in view.
-  std::optional<TimePoint> MostSeen;       ///< Since when most of them were.
-  std::vector<Digest> Digests;             ///< Its chunks by index.
-  ChunkRef Version;                        ///< Model, version and origin.
-  uint64_t ChunkBytes = 0;                 ///< Size of each chunk but the last.
+  TransferOptions Options;       ///< Configuration.
+  ChunkPlan Plan;                ///< Workers in fleet order.
+  Digest Set;                    ///< The set to fetch.
+  TimePoint StartedAt;           ///< When fetching of the set began.
+  bool CompletionLogged = false; ///< Completion of the set has been logged.
+  size_t SeenCount = 0;          ///< Number of chunks with Seen set.
+  std::optional<TimePoint> MostSeenSince; ///< When most chunks had Seen set.
+  std::vector<Digest> Digests; ///< Digests of the chunks of the set, by index.
+  ChunkRef Version;            ///< Model, version and origin.
+  uint64_t ChunkBytes = 0;     ///< Size of each chunk but the last.
   std::map<Digest, size_t> IndexOf;        ///< Index of each chunk.
-  std::vector<ChunkProgress> Chunks;       ///< By index.
+  std::vector<ChunkProgress> Chunks;       ///< State of the chunks, by index.
   std::set<size_t> Missing;                ///< Chunks that are not held.
-  std::map<size_t, PartialChunk> Partial;  ///< Chunks that come in parts.
+  std::map<size_t, PartialChunk> Partial;  ///< Chunks received in part.
   std::map<LinkId, ChunkPeer> Peers;       ///< Linked agents.
-  std::map<HostName, Distrust> Distrusted; ///< Agents that failed.
-  size_t Drawing = 0;                      ///< Chunks asked of the origin.
-  std::deque<Upload> Uploads;              ///< Requests in order of arrival.
-  RateLimit Uplink;                        ///< All chunks sent.
-  RateLimit Across;                        ///< Chunks sent to other domains.
-  std::map<HostName, TimePoint> Gone;      ///< Since when links are lost.
-  std::set<size_t> DrawsFor;   ///< Positions of hosts that are stood in for.
-  TimePoint SettledAt;         ///< Links may have come about by then.
-  TimePoint LastNews;          ///< A chunk was first seen, or a draw failed.
-  TimePoint LastTold;          ///< Peers were told last.
-  bool HeldChanged = false;    ///< Something is to be told.
-  uint64_t Random = 1;         ///< Breaks ties; seeded by the name.
-  TimePoint RateSince;         ///< Start of the rate's window.
-  uint64_t RateBytes = 0;      ///< Bytes that came in the window.
-  uint64_t BytesPerSecond = 0; ///< Rate in the last whole window.
-  TransferCounters Counters;   ///< What happened so far.
+  std::map<HostName, Distrust> Distrusted; ///< Agents that sent bad chunks.
+  size_t OriginRequests = 0;               ///< Open requests to the origin.
+  std::deque<Upload> Uploads; ///< Requests of peers, in order of arrival.
+  RateLimit Uplink;           ///< Limit for all chunks sent.
+  RateLimit Across;           ///< Limit for chunks sent to other domains.
+  std::map<HostName, TimePoint> LostPeers; ///< When links to agents were lost.
+  std::set<size_t> SubstitutedHosts; ///< Hosts whose origin chunks this host
+                                     ///< took over, by position in the plan.
+  TimePoint LinksSettledAt; ///< When links should be up after the start.
+  TimePoint LastNewsAt;     ///< Last time that a chunk was first seen, or that
+                            ///< the origin failed.
+  TimePoint AnnouncedAt;    ///< Last announcement to all peers.
+  bool AnnouncementDue = false; ///< There are changes to announce.
+  uint64_t Random = 1;          ///< State of the generator that breaks ties.
+  TimePoint RateWindowStart;    ///< Start of the window for measuring the rate.
+  uint64_t RateWindowBytes = 0; ///< Bytes received in that window.
+  uint64_t BytesPerSecond = 0;  ///< Rate of the last complete window.
+  TransferCounters Counters;    ///< Counters since the start.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/upload.cpp
+++ b/packages/core/src/weights/upload.cpp
@@ -1,4 +1,4 @@
-/** @file upload.cpp Sending chunks to peers within the rates. */
+/** @file upload.cpp Sending chunks to peers within the rate limits. */
 
 #include "weights/upload_func.h"
 
@@ -11,17 +11,18 @@
 
 namespace {
 
-/** Requests of one peer that wait here at most. */
-constexpr size_t MaxQueuedOfPeer = 8;
+/** Maximum of queued requests of one peer. */
+constexpr size_t MaxQueuedPerPeer = 8;
 /**
- * Bytes of a link that the network has not taken yet, above which nothing
- * more is sent to it: a slow receiver must not grow this host's memory.
+ * Maximum of bytes that the network has not taken from a link yet before more
+ * is sent to it: a slow receiver must not grow this host's memory.
  */
 constexpr uint64_t MaxBacklogBytes = 4 << 20;
 
-/** The same for all links together: many slow receivers at once. */
+/** The same for all links together, as there may be many slow receivers. */
 constexpr uint64_t MaxTotalBacklogBytes = 64 << 20;
 
+/** Sums up the bytes of all links that the network has not taken yet. */
 uint64_t totalBacklog(const TransferState &Transfer) {
   return std::accumulate(Transfer.Peers.begin(), Transfer.Peers.end(),
                          uint64_t{0}, [](uint64_t Sum, const auto &Row) {
@@ -29,7 +30,7 @@
                          });
 }
 
-/** Says whether a request can be answered now. */
+/** Says whether backlog and rate limits allow answering a request now. */
 bool maySend(TransferState &Transfer, const Upload &One, TimePoint Now) {
   const ChunkPeer &Peer = Transfer.Peers.at(One.Link);
   if (Peer.BacklogBytes > MaxBacklogBytes)
@@ -37,6 +38,7 @@
   return Peer.SameDomain || rateAllows(Transfer.Across, Now);
 }
 
+/** Gives the reference of a staged chunk, for the engine to send it. */
 ChunkRef stagedRef(const TransferState &Transfer, const Digest &Chunk) {
   ChunkRef Ref = Transfer.Version;
   Ref.Content = Chunk;
@@ -46,6 +48,8 @@
   return Ref;
 }
 
+/** Answers a request with bytes from memory or from the engine, and counts
+ * them. */
 void sendChunk(TransferState &Transfer, const WeightsState &Weights,
                const Upload &One, Effects &Out) {
   ChunkPeer &Peer = Transfer.Peers.at(One.Link);
@@ -74,18 +78,19 @@
 } // namespace
 
 void chunkRequested(TransferState &Transfer, const WeightsState &Weights,
-                    LinkId Link, const ChunkRequest &Asked, Effects &Out) {
+                    LinkId Link, const ChunkRequest &Request, Effects &Out) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
-  // An empty answer tells the peer to ask elsewhere.
-  if (!Weights.Held.contains(Asked.Chunk) ||
-      it->second.QueuedUploads >= MaxQueuedOfPeer) {
-    Out.push_back(SendMessage{Link, ChunkData{Asked.Chunk, {}}});
+  // On an empty answer the peer requests the chunk elsewhere.
+  if (!Weights.Held.contains(Request.Chunk) ||
+      it->second.QueuedUploads >= MaxQueuedPerPeer) {
+    Out.push_back(SendMessage{Link, ChunkData{Request.Chunk, {}}});
     return;
   }
   ++it->second.QueuedUploads;
-  Transfer.Uploads.push_back({Link, Asked.Chunk, Asked.Offset, Asked.Length});
+  Transfer.Uploads.push_back(
+      {Link, Request.Chunk, Request.Offset, Request.Length});
 }
 
 void takePart(const std::string &Whole, uint64_t Offset, uint64_t Length,
--- a/packages/core/src/weights/upload_func.h
+++ b/packages/core/src/weights/upload_func.h
@@ -1,4 +1,4 @@
-/** @file upload_func.h Sending chunks to peers within the rates. */
+/** @file upload_func.h Sending chunks to peers within the rate limits. */
 
 #ifndef JACINTHPOND_CORE_UPLOAD_FUNC_H
 #define JACINTHPOND_CORE_UPLOAD_FUNC_H
@@ -9,19 +9,19 @@
 namespace jacinthpond {
 
 /**
- * A peer asks for a chunk.
+ * Queues the request of a peer for a chunk, or rejects it with an empty answer.
  * @param Transfer State to change.
  * @param Weights Held chunks.
- * @param Link Over which link.
- * @param Asked Which part of which chunk.
+ * @param Link Link to the peer.
+ * @param Request The request.
  * @param Out Effects are appended.
  */
 void chunkRequested(TransferState &Transfer, const WeightsState &Weights,
-                    LinkId Link, const ChunkRequest &Asked, Effects &Out);
+                    LinkId Link, const ChunkRequest &Request, Effects &Out);
 
 /**
- * Sends the chunks that peers asked for, as far as the rates allow and the
- * network takes them.
+ * Sends requested chunks to peers, as far as the rate limits and the backlogs
+ * of their links allow.
  * @param Transfer State to change.
  * @param Weights Held chunks.
  * @param Now Current time.
@@ -31,11 +31,11 @@
                   TimePoint Now, Effects &Out);
 
 /**
- * Cuts a part out of a chunk.
+ * Copies a part of a chunk into an answer.
  * @param Whole The chunk.
- * @param Offset Where the part begins.
+ * @param Offset Start of the part.
  * @param Length Its length; 0: to the end of the chunk.
- * @param Into Its bytes, offset and total are set.
+ * @param Into Answer whose bytes, offset and total are set.
  */
 void takePart(const std::string &Whole, uint64_t Offset, uint64_t Length,
               ChunkData &Into);
--- a/packages/core/src/weights/weights.cpp
+++ b/packages/core/src/weights/weights.cpp
@@ -8,27 +8,27 @@
 
 namespace {
 
-/** Bits of a fencing number below the configuration's version. */
+/** Bits of a fencing number below the configuration version. */
 constexpr unsigned FenceBits = 24;
 
-/** Largest low part of a fencing number. */
+/** Maximum of the low bits of a fencing number. */
 constexpr uint64_t MaxFenceLow = (uint64_t{1} << FenceBits) - 1;
-/** Shortest wait after a failed order; doubled with each one. */
+/** Delay after a first failed order; doubled with each further one. */
 constexpr Millis OrderRetry{200};
 constexpr uint32_t MaxDoublings = 6;
 
-/** Sets whose replacement is remembered. */
+/** Maximum number of sets whose replacement time is kept. */
 constexpr size_t MaxReplaced = 8;
 
-/** Part of the time for a change of weights in which nothing begins on former
- * ones. Has to be longer than StallGap in join.cpp. */
-constexpr Millis BeginMargin{1200};
+/** Last part of the time for a change of weights, in which no request may start
+ * on replaced ones. Has to be longer than StallGap in join.cpp. */
+constexpr Millis StartMargin{1200};
 
-/** Keeps the chunks of the wanted set and of the one before it. */
-void dropUnneeded(WeightsState &Weights) {
+/** Drops all chunks but those of the wanted and the previously wanted set. */
+void dropUnneededChunks(WeightsState &Weights) {
   std::set<Digest> Needed(Weights.Wanted.Chunks.begin(),
                           Weights.Wanted.Chunks.end());
-  Needed.insert(Weights.Before.begin(), Weights.Before.end());
+  Needed.insert(Weights.PreviousChunks.begin(), Weights.PreviousChunks.end());
   std::erase_if(Weights.Held, [&](const auto &Chunk) {
     return !Needed.contains(Chunk.first);
   });
@@ -37,7 +37,7 @@
 } // namespace
 
 Millis formerWeightsTime(const Settings &Config) {
-  return std::max(Millis(Config.WeightsChangeMillis) - BeginMargin, Millis{0});
+  return std::max(Millis(Config.WeightsChangeMillis) - StartMargin, Millis{0});
 }
 
 bool isTooOldToServe(const WeightsState &Weights, Millis FormerTime,
@@ -51,13 +51,14 @@
     return;
   if (!Weights.Newest.Value.empty())
     Weights.ReplacedAt[Weights.Newest] = Since;
-  Weights.ReplacedAt.erase(Set); // A version that was taken back is wanted.
+  Weights.ReplacedAt.erase(Set); // A former version is wanted again.
   if (Weights.ReplacedAt.size() > MaxReplaced)
     Weights.ReplacedAt.erase(std::ranges::min_element(
         Weights.ReplacedAt, {}, [](const auto &Row) { return Row.second; }));
   Weights.Newest = Set;
   Weights.NewestSince = Since;
-  // One that was replaced before is not wanted for longer by another version.
+  // If the loaded set was already replaced, a further version does not extend
+  // the time for which it may be used.
   if (Weights.Loaded == Set)
     Weights.OutdatedSince.reset();
   else if (!Weights.OutdatedSince && !Weights.Loaded.Value.empty())
@@ -72,8 +73,8 @@
   if (Weights.Newest.Value.empty() || Set.Value.empty() ||
       Set == Weights.Newest)
     return;
-  // After an order that failed an old set is read back. It has been replaced
-  // since its own successor was published, not since the newest one was.
+  // After a failed order, an old set is read back. It was replaced when its own
+  // successor was published, not when the newest set was.
   const auto it = Weights.ReplacedAt.find(Set);
   Weights.OutdatedSince =
       it == Weights.ReplacedAt.end() ? Weights.NewestSince : it->second;
@@ -82,29 +83,29 @@
 void wantWeights(WeightsState &Weights, const ModelVersion &Wanted) {
   if (Weights.Wanted.Set == Wanted.Set)
     return;
-  Weights.Before = std::move(Weights.Wanted.Chunks);
+  Weights.PreviousChunks = std::move(Weights.Wanted.Chunks);
   Weights.Wanted = Wanted;
-  // A worker that drained for a version that was taken back serves on.
+  // If the worker drained for a version that is no longer wanted, it serves on.
   Weights.Draining = false;
-  Weights.Whole.insert(Wanted.Set);
-  dropUnneeded(Weights);
+  Weights.PublishedSets.insert(Wanted.Set);
+  dropUnneededChunks(Weights);
 }
 
-void dropFormerChunks(WeightsState &Weights) {
-  if (Weights.Before.empty())
+void dropPreviousChunks(WeightsState &Weights) {
+  if (Weights.PreviousChunks.empty())
     return;
-  Weights.Before.clear();
-  dropUnneeded(Weights);
+  Weights.PreviousChunks.clear();
+  dropUnneededChunks(Weights);
 }
 
-bool wholeSetHeld(const WeightsState &Weights) {
+bool isWantedSetComplete(const WeightsState &Weights) {
   return !Weights.Wanted.Chunks.empty() &&
          std::ranges::all_of(Weights.Wanted.Chunks, [&](const Digest &Chunk) {
            return Weights.Held.contains(Chunk);
          });
 }
 
-void orderLoad(WeightsState &Weights, ConfigVersion Version, Effects &Out) {
+void sendLoadOrder(WeightsState &Weights, ConfigVersion Version, Effects &Out) {
   LoadWeights Load;
   Load.Order.Fence.Value = (Version.Value << FenceBits) + Weights.NextFence;
   Weights.NextFence = std::min(Weights.NextFence + 1, MaxFenceLow);
@@ -122,7 +123,7 @@
   Weights.Draining = false;
   Out.push_back(std::move(Load));
   Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                        "Loading version " + Weights.Wanted.Version + "."});
+                        "loading version " + Weights.Wanted.Version});
 }
 
 void orderEnded(WeightsState &Weights, bool Taken, TimePoint Now) {
@@ -135,10 +136,10 @@
   const uint32_t Doublings = std::min(Weights.FailedOrders, MaxDoublings);
   Weights.NextOrder = Now + OrderRetry * (1U << Doublings);
   ++Weights.FailedOrders;
-  // A new agent counts from the start and would be refused for ever by an
-  // engine that remembers the numbers of the agent before. Doubling passes
-  // any of them soon. An agent on an older configuration cannot pass in this
-  // way, since the version is the high part.
+  // A restarted agent counts from the start, and an engine that remembers the
+  // numbers of its former incarnation would refuse it forever. Doubling soon
+  // passes any of these numbers. An agent with an older configuration cannot
+  // get past them, as the version is in the high bits.
   Weights.NextFence = std::min(Weights.NextFence * 2, MaxFenceLow);
 }
 
@@ -157,7 +158,8 @@
 
 bool mayServe(const WeightsState &Weights) {
   return !Weights.Draining && !Weights.Loading && !Weights.EngineBusy &&
-         !Weights.EngineRun.empty() && Weights.Whole.contains(Weights.Loaded);
+         !Weights.EngineRun.empty() &&
+         Weights.PublishedSets.contains(Weights.Loaded);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/weights_func.h
+++ b/packages/core/src/weights/weights_func.h
@@ -9,74 +9,76 @@
 namespace jacinthpond {
 
 /**
- * Gives how long requests may begin on weights after others were published. The
- * rest of the allowed time is for what a process cannot know (stalls that are
- * too short to be noticed, see StallGap in join.cpp) and for requests that wait
- * at a back end.
+ * Gives how long requests may still start on weights after they were replaced.
+ * The rest of the time allowed for a change of weights is for stalls that are
+ * too short for a process to notice (see StallGap in join.cpp), and for
+ * requests that wait at a back end.
  * @param Config The settings.
- * @return The time.
+ * @return Time since the replacement.
  */
 Millis formerWeightsTime(const Settings &Config);
 
 /**
- * Says whether no request may begin any more on the weights that are loaded,
- * where entries send requests to the engine themselves.
+ * Says whether the loaded weights were replaced so long ago that no request may
+ * start on them. Applies to engines that entries send requests to themselves.
  * @param Weights The state.
- * @param FormerTime How long requests may begin on replaced weights.
+ * @param FormerTime How long requests may start on replaced weights.
  * @param Now Current time.
- * @return True once they were replaced that long ago.
+ * @return True once that time has passed.
  */
 bool isTooOldToServe(const WeightsState &Weights, Millis FormerTime,
                      TimePoint Now);
 
 /**
- * A document names the newest set.
+ * Records the set in the newest configuration document, and when the former one
+ * was replaced.
  * @param Weights State to change.
  * @param Set The set.
- * @param Since Since when it may have been published.
+ * @param Since Earliest time at which it can have been published.
  */
 void noteNewest(WeightsState &Weights, const Digest &Set, TimePoint Since);
 
 /**
- * The engine has loaded a set.
+ * Records which set the engine has loaded, and since when that set is replaced.
  * @param Weights State to change.
- * @param Set The set; empty: nothing.
+ * @param Set The set; empty: none.
  */
 void noteLoaded(WeightsState &Weights, const Digest &Set);
 
 /**
- * Follows the published version. The chunks of the version wanted until now
- * are kept beside its own until it is loaded, since it may be taken back; so
- * the memory for chunks is bounded by two sets.
+ * Sets the wanted version. The chunks of the previous one are kept until the
+ * new one is loaded, as the change may be reverted; memory is bounded by two
+ * sets.
  * @param Weights State to change.
  * @param Wanted The published version.
  */
 void wantWeights(WeightsState &Weights, const ModelVersion &Wanted);
 
 /**
- * Forgets the chunks of the set wanted before, once the wanted one is loaded.
+ * Drops the chunks of the previously wanted set, once the wanted one is loaded.
  * @param Weights State to change.
  */
-void dropFormerChunks(WeightsState &Weights);
+void dropPreviousChunks(WeightsState &Weights);
 
 /**
  * Says whether every chunk of the wanted set is held.
  * @param Weights The state.
- * @return True when the set is whole.
+ * @return True when the set is complete.
  */
-bool wholeSetHeld(const WeightsState &Weights);
+bool isWantedSetComplete(const WeightsState &Weights);
 
 /**
- * Orders the engine to load the wanted set.
+ * Sends an order to the engine to load the wanted set.
  * @param Weights State to change.
- * @param Version Configuration in force, the high part of the fencing number.
+ * @param Version Configuration in force; the high bits of the fencing number.
  * @param Out Effects are appended.
  */
-void orderLoad(WeightsState &Weights, ConfigVersion Version, Effects &Out);
+void sendLoadOrder(WeightsState &Weights, ConfigVersion Version, Effects &Out);
 
 /**
- * A load order ended. What the engine has loaded counts only once it was read
- * back: some engines ignore fencing numbers and may have taken another order.
+ * Records the end of a load order; after a failure the next one is delayed. The
+ * loaded set is unknown until it is read back, as some engines ignore fencing
+ * numbers and may have executed another order.
  * @param Weights State to change.
  * @param Taken False when the engine refused it or could not be reached.
  * @param Now Current time.
@@ -84,33 +86,34 @@
 void orderEnded(WeightsState &Weights, bool Taken, TimePoint Now);
 
 /**
- * Nothing shows which chunks the engine took at the last order: its set is not
- * served until a later order is confirmed or the engine restarts.
+ * Records that it is unknown which chunks the engine loaded at the last order.
+ * Its set is not served until a later order is confirmed or the engine
+ * restarts.
  * @param Weights State to change.
  */
 void orderUnconfirmed(WeightsState &Weights);
 
 /**
- * The engine took the chunks that were checked. It holds nothing of earlier
- * orders, and refuses those that it reads later.
+ * Records that the engine loaded the verified chunks. Nothing of earlier orders
+ * is loaded then, and the engine refuses any that arrive later.
  * @param Weights State to change.
  */
 void orderConfirmed(WeightsState &Weights);
 
 /**
- * Gives the set that an engine is known to hold.
- * @param Weights State to change; a restart of the engine is noted.
+ * Gives the set that the engine has loaded from verified chunks.
+ * @param Weights State to change; an engine restart clears Unconfirmed.
  * @param Run Incarnation of the engine.
- * @param Reported Set that it says it has loaded.
- * @return That set; empty when it may have been made of other chunks.
+ * @param Reported Set that it reports as loaded.
+ * @return That set; empty when it may have been loaded from other chunks.
  */
 Digest confirmedSet(WeightsState &Weights, const std::string &Run,
                     const Digest &Reported);
 
 /**
- * Says whether answers may be produced from what the engine has loaded.
+ * Says whether requests may run on the weights that the engine has loaded.
  * @param Weights The state.
- * @return True for a whole set that was published.
+ * @return True for a published set, unless the worker drains or loads.
  */
 bool mayServe(const WeightsState &Weights);
 
--- a/packages/core/src/weights/weights_type.h
+++ b/packages/core/src/weights/weights_type.h
@@ -1,4 +1,4 @@
-/** @file weights_type.h Weights of one back end: fetched, held, loaded. */
+/** @file weights_type.h Weights that a back end holds, loads and serves. */
 
 #ifndef JACINTHPOND_CORE_WEIGHTS_TYPE_H
 #define JACINTHPOND_CORE_WEIGHTS_TYPE_H
@@ -15,32 +15,32 @@
 
 namespace jacinthpond {
 
-/** Weights as the agent of one back end sees them. */
+/** State of a back end's weights, as its agent knows it. */
 struct WeightsState {
-  ModelVersion Wanted;               ///< Published version; empty: none.
-  std::vector<Digest> Before;        ///< Chunks of the set wanted before.
-  std::map<Digest, ChunkBytes> Held; ///< Checked chunks of these two sets; null
-                                     ///< where they lie staged at the engine.
-  bool AtEngine = false; ///< Chunks lie at the engine and not in memory here.
-  Digest Loaded;         ///< What the engine said last that it has loaded.
-  Digest Newest;         ///< Set that the newest document names.
-  TimePoint NewestSince; ///< It was not published before this.
+  ModelVersion Wanted;                ///< Published version; empty: none.
+  std::vector<Digest> PreviousChunks; ///< Chunks of the previously wanted set.
+  std::map<Digest, ChunkBytes> Held;  ///< Verified chunks of these two sets;
+                                      ///< null if staged at the engine.
+  bool AtEngine = false; ///< Chunks are staged at the engine, not kept here.
+  Digest Loaded;         ///< Set that the engine last reported as loaded.
+  Digest Newest;         ///< Set in the newest configuration document.
+  TimePoint NewestSince; ///< Earliest time at which it can have been published.
   std::map<Digest, TimePoint> ReplacedAt; ///< When each set was replaced.
-  std::optional<TimePoint> OutdatedSince; ///< Since when Loaded is replaced.
-  std::string EngineRun;        ///< Incarnation of the engine; empty: silent.
-  bool Draining = false;        ///< No new work until the wanted set is loaded.
-  bool Loading = false;         ///< Ordered, and not read back since.
-  bool EngineBusy = false;      ///< The engine carries out some order.
-  uint64_t OrdersGiven = 0;     ///< Load orders that were sent.
-  uint64_t OrdersEnded = 0;     ///< Load orders that the engine answered.
-  std::set<Digest> Whole;       ///< Sets that were published, hence whole.
-  Digest Ordered;               ///< Set of the last order.
-  std::string OrderedRun;       ///< Incarnation of the engine at that order.
+  std::optional<TimePoint> OutdatedSince; ///< When Loaded was replaced.
+  std::string EngineRun; ///< Incarnation of the engine; empty: no answer.
+  bool Draining = false; ///< Takes no new work until the wanted set is loaded.
+  bool Loading = false;  ///< A load was ordered and not read back yet.
+  bool EngineBusy = false;        ///< The engine is executing an order.
+  uint64_t OrdersGiven = 0;       ///< Load orders sent.
+  uint64_t OrdersEnded = 0;       ///< Load orders that succeeded or failed.
+  std::set<Digest> PublishedSets; ///< Published sets, hence complete.
+  Digest Ordered;                 ///< Set of the last load order.
+  std::string OrderedRun;         ///< Incarnation of the engine at that time.
   std::set<Digest> Unconfirmed; ///< Sets that this incarnation may have loaded
-                                ///< from other chunks than were checked.
-  uint64_t NextFence = 1;       ///< Low part of the next fencing number.
-  uint32_t FailedOrders = 0;    ///< Orders that failed in a row.
-  TimePoint NextOrder;          ///< Earliest time of the next one.
+                                ///< from chunks other than the verified ones.
+  uint64_t NextFence = 1;       ///< Low bits of the next fencing number.
+  uint32_t FailedOrders = 0;    ///< Consecutive failed orders.
+  TimePoint NextOrder;          ///< Earliest time of the next order.
 };
 
 } // namespace jacinthpond
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -1,4 +1,4 @@
-/** @file admission_test.cpp Limits, order of waiting work, times told. */
+/** @file admission_test.cpp Admission limits, queue order, retry times. */
 // Labels: promise-2 overload
 
 #include "admission/admission_func.h"
@@ -14,8 +14,9 @@
 
 namespace {
 
-Admittee asking(int n, const std::string &Tenant = "huts",
-                uint32_t Priority = 1, uint32_t Weight = 1) {
+/** Builds a request for admission with 30 s left. */
+Admittee makeRequest(int n, const std::string &Tenant = "huts",
+                     uint32_t Priority = 1, uint32_t Weight = 1) {
   Admittee One;
   One.Who = {AttemptId{std::to_string(n)}, TenantName{Tenant}, Weight,
              Priority};
@@ -28,10 +29,10 @@
     Gate.Limits = {16, 2, 4, 6};
     turnCold(Gate);
   }
-  /** Runs attempts one after the other to their ends. */
+  /** Runs attempts to completion, one after the other. */
   void complete(int Runs, Millis Took = Millis{100}) {
     for (int n = 0; n < Runs; ++n) {
-      askToRun(Gate, asking(1000 + n));
+      askToRun(Gate, makeRequest(1000 + n));
       runEnded(Gate, AttemptId{"any"}, RunEnd::Whole, Took);
     }
   }
@@ -45,7 +46,7 @@
 BOOST_AUTO_TEST_CASE(TheLimitGrowsWithCompletedWorkOnly) {
   complete(5);
   BOOST_TEST(Gate.Limit == 2U);
-  askToRun(Gate, asking(1));
+  askToRun(Gate, makeRequest(1));
   runEnded(Gate, AttemptId{"1"}, RunEnd::CutOff, Millis{100});
   BOOST_TEST(Gate.Limit == 2U);
   backEndReported(Gate, 0, false, false);
@@ -55,7 +56,7 @@
   BOOST_TEST(Gate.Limit == 16U);
 }
 
-BOOST_AUTO_TEST_CASE(ReportedColdnessHoldsAndLowersTheLimit) {
+BOOST_AUTO_TEST_CASE(AColdReportHoldsAndLowersTheLimit) {
   backEndReported(Gate, 0, true, true);
   complete(50);
   BOOST_TEST(Gate.Limit == 2U);
@@ -66,39 +67,39 @@
   BOOST_TEST(Gate.Limit == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(WorkOfAnOlderAgentIsCounted) {
+BOOST_AUTO_TEST_CASE(RunsOfAFormerAgentAreCounted) {
   backEndReported(Gate, 3, false, true);
-  BOOST_TEST((askToRun(Gate, asking(1)).May == Admitted::Wait));
+  BOOST_TEST((askToRun(Gate, makeRequest(1)).May == Admitted::Wait));
   backEndReported(Gate, 2, false, false);
   BOOST_TEST(!nextToRun(Gate));
   backEndReported(Gate, 1, false, false);
   BOOST_TEST(nextToRun(Gate)->Value == "1");
-  // Later reports lag: they may not make lingering work of our own run.
+  // Reports lag: they must not count attempts of this process twice.
   backEndReported(Gate, 2, false, false);
   BOOST_TEST(Gate.Lingering <= 1U);
   backEndReported(Gate, 1, false, false);
   BOOST_TEST(Gate.Lingering == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(SlowTokensTurnItCold) {
+BOOST_AUTO_TEST_CASE(SlowTokensLowerTheLimit) {
   Gate.Limit = 16;
   for (int n = 0; n < 64; ++n)
     BOOST_TEST(!tokenCame(Gate, Millis{10}));
-  // One stalled answer is no sign; most gaps must be long.
+  // One stalled answer is not enough; most gaps have to be long.
   for (int n = 0; n < 32; ++n)
     BOOST_TEST(!tokenCame(Gate, Millis{n % 3 == 0 ? 500 : 10}));
-  bool Fell = false;
+  bool Lowered = false;
   for (int n = 0; n < 32; ++n)
-    Fell = tokenCame(Gate, Millis{100}) || Fell;
-  BOOST_TEST(Fell);
+    Lowered = tokenCame(Gate, Millis{100}) || Lowered;
+  BOOST_TEST(Lowered);
   BOOST_TEST(Gate.Limit == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RunningWorkAboveAFallenLimitIsNotReplaced) {
+BOOST_AUTO_TEST_CASE(NothingStartsWhileMoreThanALoweredLimitRuns) {
   Gate.Limit = 16;
   for (int n = 0; n < 16; ++n)
-    askToRun(Gate, asking(n));
-  askToRun(Gate, asking(99));
+    askToRun(Gate, makeRequest(n));
+  askToRun(Gate, makeRequest(99));
   turnCold(Gate);
   for (int n = 0; n < 14; ++n) {
     runEnded(Gate, AttemptId{std::to_string(n)}, RunEnd::Whole, Millis{100});
@@ -109,27 +110,28 @@
   BOOST_TEST(Gate.Limit == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RefusalsAreHonestAndAtOnce) {
+BOOST_AUTO_TEST_CASE(RefusalsComeAtOnceWithARetryTime) {
   complete(2, Millis{1000});
   for (int n = 0; n < 2; ++n)
-    askToRun(Gate, asking(n));
-  Admittee Hurried = asking(2);
+    askToRun(Gate, makeRequest(n));
+  Admittee Hurried = makeRequest(2);
   Hurried.Remaining = Millis{900};
   BOOST_TEST((askToRun(Gate, Hurried).May == Admitted::Refuse));
   for (int n = 3; n < 7; ++n)
-    BOOST_TEST((askToRun(Gate, asking(n)).May == Admitted::Wait));
-  const AdmissionAnswer Full = askToRun(Gate, asking(7));
+    BOOST_TEST((askToRun(Gate, makeRequest(n)).May == Admitted::Wait));
+  const AdmissionAnswer Full = askToRun(Gate, makeRequest(7));
   BOOST_TEST((Full.May == Admitted::Refuse));
-  // Five to start, two at a time, a second each.
+  // Five attempts to start, two at a time, one second each.
   BOOST_TEST(Full.RetryAfter.count() == 2500);
 }
 
+// A suspect waits until nothing else runs, and blocks later attempts meanwhile.
 BOOST_AUTO_TEST_CASE(ASuspectRunsAlone) {
-  askToRun(Gate, asking(1));
-  Admittee Suspect = asking(2);
+  askToRun(Gate, makeRequest(1));
+  Admittee Suspect = makeRequest(2);
   Suspect.Alone = true;
   BOOST_TEST((askToRun(Gate, Suspect).May == Admitted::Wait));
-  BOOST_TEST((askToRun(Gate, asking(3)).May == Admitted::Wait));
+  BOOST_TEST((askToRun(Gate, makeRequest(3)).May == Admitted::Wait));
   BOOST_TEST(!nextToRun(Gate));
   runEnded(Gate, AttemptId{"1"}, RunEnd::Whole, Millis{1});
   BOOST_TEST(nextToRun(Gate)->Value == "2");
@@ -145,15 +147,15 @@
 BOOST_AUTO_TEST_CASE(TenantsShareByWeight) {
   FairQueue Queue;
   for (int n = 0; n < 60; ++n)
-    pushWaiter(Queue, asking(n, "large").Who);
+    enqueueWaiter(Queue, makeRequest(n, "large").Who);
   for (int n = 100; n < 140; ++n)
-    pushWaiter(Queue, asking(n, "heavy", 1, 2).Who);
+    enqueueWaiter(Queue, makeRequest(n, "heavy", 1, 2).Who);
   for (int n = 200; n < 202; ++n)
-    pushWaiter(Queue, asking(n, "small").Who);
-  std::map<size_t, int> Taken; // By length of the id: 2 large, 3 others.
+    enqueueWaiter(Queue, makeRequest(n, "small").Who);
+  std::map<size_t, int> Taken; // By workspace: 1 large, 2 heavy, 3 small.
   int Small = 0;
   for (int n = 0; n < 24; ++n) {
-    const int Id = std::stoi(popWaiter(Queue)->Value);
+    const int Id = std::stoi(dequeueWaiter(Queue)->Value);
     ++Taken[Id < 100 ? 1 : Id < 200 ? 2 : 3];
     Small += Id >= 200 && n < 8 ? 1 : 0;
   }
@@ -163,11 +165,11 @@
 
 BOOST_AUTO_TEST_CASE(HigherClassesFirstButLowerOnesNeverStarve) {
   FairQueue Queue;
-  pushWaiter(Queue, asking(1, "a", 1).Who);
+  enqueueWaiter(Queue, makeRequest(1, "a", 1).Who);
   for (int n = 10; n < 40; ++n)
-    pushWaiter(Queue, asking(n, "a", 5).Who);
+    enqueueWaiter(Queue, makeRequest(n, "a", 5).Who);
   int Place = 0;
-  while (popWaiter(Queue)->Value != "1")
+  while (dequeueWaiter(Queue)->Value != "1")
     ++Place;
   BOOST_TEST(Place == 8);
 }
@@ -175,13 +177,15 @@
 BOOST_AUTO_TEST_CASE(AFullQueueMakesRoomForTheSmallTenant) {
   FairQueue Queue;
   for (int n = 0; n < 4; ++n)
-    pushWaiter(Queue, asking(n, "large").Who);
-  BOOST_TEST(makeRoom(Queue, asking(9, "small").Who)->Value == "3");
-  pushWaiter(Queue, asking(9, "small").Who);
-  BOOST_TEST(!makeRoom(Queue, asking(5, "large").Who));
-  BOOST_TEST(makeRoom(Queue, asking(6, "large", 2).Who)->Value == "2");
-  BOOST_TEST(aheadOf(Queue, asking(7, "new").Who) == 2U);
-  BOOST_TEST(dropWaiter(Queue, AttemptId{"9"}));
+    enqueueWaiter(Queue, makeRequest(n, "large").Who);
+  BOOST_TEST(evictForNewcomer(Queue, makeRequest(9, "small").Who)->Value ==
+             "3");
+  enqueueWaiter(Queue, makeRequest(9, "small").Who);
+  BOOST_TEST(!evictForNewcomer(Queue, makeRequest(5, "large").Who));
+  BOOST_TEST(evictForNewcomer(Queue, makeRequest(6, "large", 2).Who)->Value ==
+             "2");
+  BOOST_TEST(countAhead(Queue, makeRequest(7, "new").Who) == 2U);
+  BOOST_TEST(removeWaiter(Queue, AttemptId{"9"}));
   BOOST_TEST(allWaiters(Queue).size() == 2U);
 }
 
--- a/tests/unit/chunk_plan_test.cpp
+++ b/tests/unit/chunk_plan_test.cpp
@@ -1,5 +1,4 @@
-/** @file chunk_plan_test.cpp Who draws, imports and links, over whole fleets.
- */
+/** @file chunk_plan_test.cpp Ranks and links in whole fleets, rate limits. */
 // Labels: promise-1 weights
 
 #include "base/rate_limit_func.h"
@@ -18,7 +17,8 @@
 constexpr size_t Domains = 3;
 constexpr size_t Chunks = 50;
 
-Document fleetOf(size_t Hosts) {
+/** Builds a document with workers spread over the domains. */
+Document makeFleet(size_t Hosts) {
   Document Doc;
   for (size_t n = 0; n < Hosts; ++n) {
     Worker Host;
@@ -31,8 +31,9 @@
   return Doc;
 }
 
-std::vector<ChunkPlan> plansOf(size_t Hosts) {
-  const Document Doc = fleetOf(Hosts);
+/** Builds the plans of all hosts of a fleet. */
+std::vector<ChunkPlan> makePlans(size_t Hosts) {
+  const Document Doc = makeFleet(Hosts);
   std::vector<ChunkPlan> Plans;
   for (const Worker &Host : Doc.Workers)
     Plans.push_back(makeChunkPlan(Doc, Host.Name));
@@ -41,9 +42,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(EachChunkHasOneDrawerAndOneLinkedImporterADomain) {
+// Each chunk is fetched from the origin by one host first, and imported first
+// by one host of each domain that has a link to it.
+BOOST_AUTO_TEST_CASE(EachChunkHasOneFetcherAndOneLinkedImporterPerDomain) {
   for (const size_t Hosts : {1, 2, 5, 16, 40, 101}) {
-    const std::vector<ChunkPlan> Plans = plansOf(Hosts);
+    const std::vector<ChunkPlan> Plans = makePlans(Hosts);
     std::set<std::pair<HostName, HostName>> Links;
     for (const ChunkPlan &Plan : Plans)
       for (const PeerAddress &Peer : chunkPeers(Plan)) {
@@ -52,18 +55,18 @@
       }
     for (size_t n = 0; n < Chunks; ++n) {
       std::map<DomainName, size_t> Importers;
-      HostName Drawer;
+      HostName Fetcher;
       for (const ChunkPlan &Plan : Plans)
-        if (drawRank(Plan, n) == 0)
-          Drawer = Plan.Hosts[Plan.Self].Name;
-      BOOST_TEST(!Drawer.Value.empty());
+        if (originRank(Plan, n) == 0)
+          Fetcher = Plan.Hosts[Plan.Self].Name;
+      BOOST_TEST(!Fetcher.Value.empty());
       for (const ChunkPlan &Plan : Plans) {
         const PlanHost &Self = Plan.Hosts[Plan.Self];
         if (importRank(Plan, n) != 0)
           continue;
         ++Importers[Self.Domain];
         BOOST_TEST(
-            (Self.Name == Drawer || Links.contains({Self.Name, Drawer})));
+            (Self.Name == Fetcher || Links.contains({Self.Name, Fetcher})));
       }
       BOOST_TEST(Importers.size() == std::min(Domains, Hosts));
       for (const auto &[Domain, Count] : Importers)
@@ -72,9 +75,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LinksAreBoundedAndConnectTheFleet) {
+BOOST_AUTO_TEST_CASE(LinksAreFewAndConnectTheFleet) {
   for (const size_t Hosts : {2, 16, 100, 490}) {
-    const std::vector<ChunkPlan> Plans = plansOf(Hosts);
+    const std::vector<ChunkPlan> Plans = makePlans(Hosts);
     std::map<HostName, std::set<HostName>> Near;
     for (const ChunkPlan &Plan : Plans) {
       const auto Peers = chunkPeers(Plan);
@@ -96,7 +99,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(TheRateHoldsOverAnySteps) {
+BOOST_AUTO_TEST_CASE(TheRateLimitHoldsForAnyTimeStep) {
   for (const int Step : {1, 7, 50, 90}) {
     RateLimit Limit;
     Limit.PerSecond = 100000;
@@ -112,8 +115,8 @@
   }
 }
 
-// Callers' answers would wait behind weights on the link between domains.
-BOOST_AUTO_TEST_CASE(LiveTrafficGoesFirstAndLeavesARest) {
+// Guards against answers delayed by chunks on the link between domains.
+BOOST_AUTO_TEST_CASE(ChunksYieldToLiveTrafficButAreNotStarved) {
   for (const auto &[Live, Expected] :
        {std::pair{0U, 1000000U}, {60000U, 400000U}, {500000U, 100000U}}) {
     RateLimit Limit;
--- a/tests/unit/first_part_test.cpp
+++ b/tests/unit/first_part_test.cpp
@@ -1,4 +1,4 @@
-/** @file first_part_test.cpp How long a request may wait at a full back end. */
+/** @file first_part_test.cpp Estimated time to the first part of an answer. */
 // Labels: routes admission
 
 #include "admission/first_part_func.h"
@@ -7,7 +7,7 @@
 
 using namespace jacinthpond;
 
-BOOST_AUTO_TEST_CASE(TheRestBesideReadingIsLearnt) {
+BOOST_AUTO_TEST_CASE(TheEstimateAddsReadingToTheMeasuredRest) {
   FirstPartTime Time;
   for (int n = 0; n < 100; ++n)
     firstPartSeen(Time, Millis(n % 2 == 0 ? 250 : 150), Millis(50));
@@ -16,11 +16,11 @@
   BOOST_TEST((firstPartAfter(Time, Millis(200)) == Short + Millis(190)));
 }
 
-BOOST_AUTO_TEST_CASE(WithoutAnySeenOnlyReadingCounts) {
+BOOST_AUTO_TEST_CASE(WithoutSamplesTheEstimateIsTheReadingTime) {
   BOOST_TEST((firstPartAfter({}, Millis(70)) == Millis(70)));
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatTurnsSlowIsNoticedWithinABatch) {
+BOOST_AUTO_TEST_CASE(TheEstimateFollowsASlowerEngineWithinABatch) {
   FirstPartTime Time;
   for (int n = 0; n < 50; ++n)
     firstPartSeen(Time, Millis(100), Millis(0));
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -1,5 +1,4 @@
-/** @file poison_spread_test.cpp Equal requests, each of which kills its engine.
- */
+/** @file poison_spread_test.cpp Equal requests that each crash their engine. */
 // Labels: quarantine
 
 #include "admission/quarantine_func.h"
@@ -14,7 +13,7 @@
 
 const std::string Poison = "{\"prompt\":\"poison\"}";
 
-/** Workers that were just started bear two requests at a time. */
+/** Five workers that have just started, with a limit of two requests each. */
 struct ColdMesh : Mesh {
   ColdMesh() : Mesh(4, 5, 0) {
     for (auto &[Name, Agent] : Agents)
@@ -22,32 +21,34 @@
     pass(Millis(1000));
   }
 
-  /** Engines that began such a request alive; each dies of it. */
-  std::set<std::string> hit() {
+  /** Gives the engines that such a request reached and crashed. */
+  std::set<std::string> crashedEngines() {
     for (; Begun.size() < Runs.size();)
-      Begun.push_back(Dying.insert(Runs[Begun.size()].first).second);
-    return Dying;
+      Begun.push_back(Crashed.insert(Runs[Begun.size()].first).second);
+    return Crashed;
   }
 
-  /** Tells agents how the runs ended that were given to engines. */
+  /** Ends all runs given to engines, at crashed engines too. */
   void endRuns() {
-    hit();
+    crashedEngines();
     for (; Ended < Begun.size(); ++Ended)
-      end(Runs[Ended].first, Runs[Ended].second.Attempt,
-          Begun[Ended] ? ErrorKind::OutcomeUnknown : ErrorKind::Unreachable);
+      failRun(Runs[Ended].first, Runs[Ended].second.Attempt,
+              Begun[Ended] ? ErrorKind::OutcomeUnknown
+                           : ErrorKind::Unreachable);
   }
 
-  void end(const std::string &Name, const AttemptId &Which, ErrorKind Why) {
+  /** Ends a run at an engine with an error. */
+  void failRun(const std::string &Name, const AttemptId &Which, ErrorKind Why) {
     Effects Out;
     engineEnded(Agents.at(Name), Which, {{}, {Why, "", {}}}, Now, Out);
     perform(Name, Out);
     pump();
   }
 
-  /** Agents read the state of their engines. */
+  /** Lets all agents read the state of their engines. */
   void readStates() {
     for (auto &[Name, Agent] : Agents) {
-      if (!hit().contains(Name)) {
+      if (!crashedEngines().contains(Name)) {
         warm(Name);
         continue;
       }
@@ -59,7 +60,7 @@
     pump();
   }
 
-  /** Lets everything happen that still follows. */
+  /** Runs the system for 2 s, so that all effects of the deaths have spread. */
   void settle() {
     for (int n = 0; n < 20; ++n) {
       endRuns();
@@ -68,43 +69,43 @@
     }
   }
 
-  size_t Ended = 0;            ///< Runs whose end was told.
-  std::vector<bool> Begun;     ///< For each run, whether its engine lived.
-  std::set<std::string> Dying; ///< Engines that such a request reached.
+  size_t Ended = 0;        ///< Number of runs that have ended.
+  std::vector<bool> Begun; ///< For each run, whether its engine was alive.
+  std::set<std::string> Crashed; ///< Engines that such a request reached.
 };
 
 } // namespace
 
-// Guards against a third death: equal requests come through other entries
-// while the agent has not yet judged the end of the first one's connection.
-BOOST_FIXTURE_TEST_CASE(AThirdEngineIsSparedWhileADeathIsBeingJudged,
-                        ColdMesh) {
+// Guards against a third death: equal requests arrive through other entries
+// before the agent has found out whether its engine died or just a connection
+// broke.
+BOOST_FIXTURE_TEST_CASE(AThirdEngineIsSparedBeforeADeathIsConfirmed, ColdMesh) {
   for (const char *Entry : {"e0", "e1", "e2", "e3"}) {
     ask(Entry, "reports", "", "", Poison);
     endRuns();
     pass(Millis(50));
   }
   settle();
-  BOOST_TEST(hit().size() <= 2U);
+  BOOST_TEST(crashedEngines().size() <= 2U);
   const uint64_t Last = ask("e0", "reports", "", "", Poison);
   settle();
   BOOST_TEST((Finals.at(Last).Kind == ErrorKind::Quarantined));
 }
 
-// Guards against a third death: copies of a request are at many workers before
-// the first of them kills its engine.
-BOOST_FIXTURE_TEST_CASE(EqualRequestsUnderWayReachTwoWorkers, ColdMesh) {
+// Guards against a third death: equal requests are sent to many workers before
+// the first one has crashed its engine.
+BOOST_FIXTURE_TEST_CASE(EqualRequestsInFlightReachTwoEnginesAtMost, ColdMesh) {
   for (const char *Entry : {"e0", "e1", "e2", "e3"}) {
     ask(Entry, "reports", "", "", Poison);
     pass(Millis(50));
   }
   settle();
-  BOOST_TEST(hit().size() <= 2U);
+  BOOST_TEST(crashedEngines().size() <= 2U);
 }
 
-// Guards against a third death: an engine gives no state any more, what waits
-// there goes elsewhere, and the end of its run is seen only after that.
-BOOST_FIXTURE_TEST_CASE(ASilentEngineIsSuspectBeforeItsRunsBreak, ColdMesh) {
+// Guards against a third death: an engine stops answering, its queued requests
+// move to other workers, and only then its running request is seen to fail.
+BOOST_FIXTURE_TEST_CASE(RunsAtASilentEngineAreSuspectBeforeTheyFail, ColdMesh) {
   for (const char *Entry : {"e0", "e1", "e2", "e3"})
     ask(Entry, "reports", "", "", Poison);
   for (int n = 0; n < 20; ++n) {
@@ -112,15 +113,16 @@
     pass(Millis(100));
     endRuns();
   }
-  BOOST_TEST(hit().size() <= 2U);
+  BOOST_TEST(crashedEngines().size() <= 2U);
 }
 
-// Guards against innocent requests that stay suspect after a lost connection.
-BOOST_FIXTURE_TEST_CASE(AConnectionThatBreaksIsNoDeath, ColdMesh) {
+// A broken connection to an engine that is still alive must not make a request
+// a suspect.
+BOOST_FIXTURE_TEST_CASE(ABrokenConnectionIsNoDeath, ColdMesh) {
   for (int n = 0; n < 3; ++n) {
     ask("e0", "reports", "", "", Poison);
     const auto [Name, Request] = Runs.back();
-    end(Name, Request.Attempt, ErrorKind::OutcomeUnknown);
+    failRun(Name, Request.Attempt, ErrorKind::OutcomeUnknown);
     for (int Reads = 0; Reads < 4; ++Reads) {
       for (const auto &[Each, Agent] : Agents)
         warm(Each);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,4 +1,4 @@
-/** @file quarantine_test.cpp What deaths say of the requests at them. */
+/** @file quarantine_test.cpp Requests suspected after deaths of back ends. */
 // Labels: quarantine
 
 #include "admission/quarantine_func.h"
@@ -10,12 +10,17 @@
 namespace {
 
 struct Fixture {
-  bool tell(const std::string &Death, bool Alone = false,
-            uint64_t AgeMillis = 0) {
-    return noteSuspect(State, {Print, Death, AgeMillis, Alone, false}, Now);
+  /** Applies a notice of a death; true when it is news. */
+  bool reportDeath(const std::string &Death, bool Alone = false,
+                   uint64_t AgeMillis = 0) {
+    return noteSuspect(State, {Fingerprint, Death, AgeMillis, Alone, false},
+                       Now);
   }
-  int now() const { return static_cast<int>(suspicionOf(State, Print, Now)); }
-  const Digest Print =
+  /** Gives how the request is to be treated now. */
+  int suspicion() const {
+    return static_cast<int>(suspicionOf(State, Fingerprint, Now));
+  }
+  const Digest Fingerprint =
       fingerprintOf(TenantName{"huts"}, ClassName{"reports"}, "body");
   const int None = static_cast<int>(Suspicion::None);
   const int RunAlone = static_cast<int>(Suspicion::RunAlone);
@@ -28,48 +33,49 @@
 
 BOOST_FIXTURE_TEST_SUITE(Deaths, Fixture)
 
-BOOST_AUTO_TEST_CASE(TheSecondDeathRefusesForATime) {
-  BOOST_TEST(now() == None);
-  BOOST_TEST(tell("w1/7"));
-  BOOST_TEST(!tell("w1/7")); // The same death by another way.
-  BOOST_TEST(now() == RunAlone);
-  BOOST_TEST(tell("w2/9"));
-  BOOST_TEST(now() == Refuse);
-  BOOST_TEST(refusedFor(State, Print, Now).count() > 0);
+BOOST_AUTO_TEST_CASE(ASecondDeathRefusesForAWhile) {
+  BOOST_TEST(suspicion() == None);
+  BOOST_TEST(reportDeath("w1/7"));
+  BOOST_TEST(!reportDeath("w1/7")); // The same death, over another link.
+  BOOST_TEST(suspicion() == RunAlone);
+  BOOST_TEST(reportDeath("w2/9"));
+  BOOST_TEST(suspicion() == Refuse);
+  BOOST_TEST(refusedFor(State, Fingerprint, Now).count() > 0);
   Now += Millis{61000};
-  BOOST_TEST(now() == None);
+  BOOST_TEST(suspicion() == None);
   forgetSuspects(State, Now);
   BOOST_TEST(State.Suspects.empty());
 }
 
-BOOST_AUTO_TEST_CASE(DyingAloneIsProofEnough) {
-  BOOST_TEST(tell("w1/7", true));
-  BOOST_TEST(now() == Refuse);
+BOOST_AUTO_TEST_CASE(ADeathWhileRunningAloneRefusesAtOnce) {
+  BOOST_TEST(reportDeath("w1/7", true));
+  BOOST_TEST(suspicion() == Refuse);
 }
 
-BOOST_AUTO_TEST_CASE(RunningWholeClearsEverywhere) {
-  tell("w1/7");
+BOOST_AUTO_TEST_CASE(ACompletedRunClearsOnAllHosts) {
+  reportDeath("w1/7");
   Quarantine Other = State;
   Membership Fleet;
   Fleet.Links[LinkId{4}].State = LinkState::Ready;
   Effects Out;
-  clearSuspect(State, Print, Fleet, Now, Out);
-  BOOST_TEST(now() == None);
+  clearSuspect(State, Fingerprint, Fleet, Now, Out);
+  BOOST_TEST(suspicion() == None);
   BOOST_REQUIRE(Out.size() == 1U);
   const auto &Sent = std::get<SendMessage>(Out.front());
   const auto Notice = std::get<SuspectNotice>(Sent.Content);
   BOOST_TEST(noteSuspect(Other, Notice, Now));
-  BOOST_TEST(!noteSuspect(Other, Notice, Now)); // No news: not passed on.
-  // The old news, passed on late, is not taken again.
-  BOOST_TEST(!noteSuspect(Other, {Print, "w1/7", 0, false, false}, Now));
-  BOOST_TEST(static_cast<int>(suspicionOf(Other, Print, Now)) == None);
-  // A later death of another cause counts as the first.
-  noteSuspect(Other, {Print, "w2/9", 0, false, false}, Now);
-  BOOST_TEST(static_cast<int>(suspicionOf(Other, Print, Now)) == RunAlone);
+  BOOST_TEST(!noteSuspect(Other, Notice, Now)); // No news: not forwarded.
+  // The old notice, forwarded late, is not applied again.
+  BOOST_TEST(!noteSuspect(Other, {Fingerprint, "w1/7", 0, false, false}, Now));
+  BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) == None);
+  // A later death counts as the first one.
+  noteSuspect(Other, {Fingerprint, "w2/9", 0, false, false}, Now);
+  BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) ==
+             RunAlone);
 }
 
-BOOST_AUTO_TEST_CASE(ANewPeerLearnsAllWithItsAge) {
-  tell("w1/7");
+BOOST_AUTO_TEST_CASE(ANewPeerLearnsSuspectsWithTheirAge) {
+  reportDeath("w1/7");
   Now += Millis{40000};
   Effects Out;
   tellSuspects(State, LinkId{1}, Now, Out);
@@ -80,11 +86,12 @@
   Quarantine Other;
   BOOST_TEST(noteSuspect(Other, Notice, Now));
   Now += Millis{21000};
-  BOOST_TEST(static_cast<int>(suspicionOf(Other, Print, Now)) == None);
-  BOOST_TEST(!tell("w3/1", false, 61000)); // Too old to be told.
+  BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) == None);
+  BOOST_TEST(!reportDeath("w3/1", false, 61000)); // Already expired.
 }
 
-BOOST_AUTO_TEST_CASE(FieldsAreKeptApart) {
+// Workspace and body must not concatenate to the same fingerprint.
+BOOST_AUTO_TEST_CASE(FingerprintsSeparateFields) {
   const ClassName Class{"reports"};
   BOOST_TEST(fingerprintOf(TenantName{"ab"}, Class, "c").Value !=
              fingerprintOf(TenantName{"a"}, Class, "bc").Value);
