--- a/tests/unit/rollout_test.cpp
+++ b/tests/unit/rollout_test.cpp
@@ -1,4 +1,4 @@
-/** @file rollout_test.cpp Turns to load, and which weights may answer. */
+/** @file rollout_test.cpp Order of loading, and which weights may be served. */
 // Labels: promise-1 weights
 
 #include "attempts/agent_func.h"
@@ -20,8 +20,8 @@
 constexpr LinkId FirstPeer{100};
 
 /** A worker that serves an old set and holds a new one, with linked peers. */
-struct Waiting {
-  explicit Waiting(double Share) {
+struct RolloutWorker {
+  explicit RolloutWorker(double Share) {
     auto Doc = std::make_shared<Document>();
     Doc->Version.Value = 2;
     WorkClass Class;
@@ -44,7 +44,7 @@
     Agent.Fleet.Joining.Fresh = true;
     Agent.View.InForce = Doc;
     Agent.BackEndUp = true;
-    Agent.Rollout.LastWork = Now;
+    Agent.Rollout.LastWorkAt = Now;
     for (const std::string Text : {"old", "new"}) {
       ModelVersion Model;
       Model.Chunks = {sha256(Text)};
@@ -56,13 +56,13 @@
     }
     Agent.Weights.Loaded = Old;
     Agent.Weights.EngineRun = "run";
-    // The last one in the fleet order waits for all others of its chain.
+    // As the last one in fleet order it waits for all others of its chain.
     Agent.Transfer.Plan = makeChunkPlan(*Doc, Doc->Workers[0].Name);
     Agent.Transfer.Plan.Self = Hosts - 1;
   }
 
-  /** Sets what the n-th worker before this one says; no digest: no link. */
-  void before(size_t n, const Digest &Loaded, uint32_t Held = 0) {
+  /** Sets the reported state of the n-th predecessor; no digest: no link. */
+  void setPredecessor(size_t n, const Digest &Loaded, uint32_t Held = 0) {
     const size_t At = predecessors(Agent, false).at(n);
     const LinkId Link{FirstPeer.Value + n};
     Agent.Fleet.Links.erase(Link);
@@ -77,7 +77,8 @@
     Peer.Load.ChunksHeld = Held;
     Peer.Load.Running = 1;
   }
-  bool loads(Millis Passed = Millis(0)) {
+  /** Advances the clock; says whether a load was ordered. */
+  bool ordersLoad(Millis Passed = Millis(0)) {
     Now += Passed;
     ++Agent.Counters.Started; // The class is not idle.
     Effects Out;
@@ -86,7 +87,8 @@
       return std::holds_alternative<LoadWeights>(One);
     });
   }
-  EngineState reads(const std::string &Run, const Digest &Set) {
+  /** Lets the agent read the state of its engine. */
+  EngineState readEngine(const std::string &Run, const Digest &Set) {
     EngineState Read;
     Read.Run = Run;
     Read.Weights = Set;
@@ -103,86 +105,88 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(ChainsAreAsManyAsMayBeOut) {
+BOOST_AUTO_TEST_CASE(ThereAreAsManyChainsAsWorkersThatMayLoad) {
   for (const auto &[Share, Idle, Step] : {std::tuple{0.5, false, size_t{4}},
                                           {0.75, false, size_t{2}},
                                           {1.0, false, size_t{1}},
                                           {0.5, true, size_t{6}}}) {
-    const Waiting One(Share);
+    const RolloutWorker One(Share);
     BOOST_TEST(predecessors(One.Agent, Idle).at(0) == Hosts - 1 - Step);
   }
 }
 
-// Callers of a class would find too few workers. A worker loads only when the
-// one before it serves the new weights, whatever else is ready.
-BOOST_AUTO_TEST_CASE(AWorkerWaitsForTheOneBeforeIt) {
-  Waiting One(0.75);
-  One.before(0, One.Old);
-  One.before(1, One.New);
-  BOOST_TEST(!One.loads());
-  BOOST_TEST(!One.loads(Millis(50000)));
-  One.before(0, One.New);
-  BOOST_TEST(One.loads());
+// Guards against too few serving workers in a class: a worker loads only when
+// its predecessor serves the new weights.
+BOOST_AUTO_TEST_CASE(AWorkerWaitsForItsPredecessor) {
+  RolloutWorker One(0.75);
+  One.setPredecessor(0, One.Old);
+  One.setPredecessor(1, One.New);
+  BOOST_TEST(!One.ordersLoad());
+  BOOST_TEST(!One.ordersLoad(Millis(50000)));
+  One.setPredecessor(0, One.New);
+  BOOST_TEST(One.ordersLoad());
 }
 
-// A rollout would stand still for ever behind a worker that died, is stuck, or
-// whose link comes and goes without anything getting better.
-BOOST_AUTO_TEST_CASE(NobodyIsWaitedForWithoutEnd) {
-  Waiting Dead(0.75);
-  Dead.before(1, Dead.New);
-  BOOST_TEST(!Dead.loads());
-  BOOST_TEST(Dead.loads(Millis(4000)));
+// Guards against a rollout that is blocked forever by a worker that died, is
+// stuck, or whose link is lost and opened again without progress.
+BOOST_AUTO_TEST_CASE(TheWaitForAPredecessorTimesOut) {
+  RolloutWorker Dead(0.75);
+  Dead.setPredecessor(1, Dead.New);
+  BOOST_TEST(!Dead.ordersLoad());
+  BOOST_TEST(Dead.ordersLoad(Millis(4000)));
 
-  Waiting BothDead(0.75);
-  BOOST_TEST(!BothDead.loads());
-  BOOST_TEST(BothDead.loads(Millis(4000)));
+  RolloutWorker BothDead(0.75);
+  BOOST_TEST(!BothDead.ordersLoad());
+  BOOST_TEST(BothDead.ordersLoad(Millis(4000)));
 
-  Waiting Alive(0.75); // The one before the dead one is still at work.
-  Alive.before(1, Alive.Old);
-  BOOST_TEST(!Alive.loads());
-  BOOST_TEST(!Alive.loads(Millis(4000)));
+  RolloutWorker Alive(0.75); // Predecessor dead, the one before it alive.
+  Alive.setPredecessor(1, Alive.Old);
+  BOOST_TEST(!Alive.ordersLoad());
+  BOOST_TEST(!Alive.ordersLoad(Millis(4000)));
 
-  Waiting Stuck(0.75);
+  RolloutWorker Stuck(0.75);
   bool Loaded = false;
   for (uint32_t n = 0; n < 60 && !Loaded; ++n) {
-    Stuck.before(0, n % 2 == 0 ? Stuck.Old : Digest{}, std::min(n, 10U));
-    Stuck.before(1, Stuck.New);
-    Loaded = Stuck.loads(Millis(2000));
+    Stuck.setPredecessor(0, n % 2 == 0 ? Stuck.Old : Digest{},
+                         std::min(n, 10U));
+    Stuck.setPredecessor(1, Stuck.New);
+    Loaded = Stuck.ordersLoad(Millis(2000));
     BOOST_TEST((!Loaded || n >= 30U));
   }
   BOOST_TEST(Loaded);
 }
 
-// An engine restarts, or obeys another agent, and holds weights that nobody
-// published, or an order of this agent is still under way.
-BOOST_AUTO_TEST_CASE(OnlyPublishedWeightsThatWereReadBackServe) {
-  Waiting One(0.75);
+// Guards against serving unpublished weights: an engine restarted or took
+// orders of another agent, or an order of this agent has not ended.
+BOOST_AUTO_TEST_CASE(OnlyPublishedWeightsThatWereReadBackAreServed) {
+  RolloutWorker One(0.75);
   BOOST_TEST(mayServe(One.Agent.Weights));
-  One.before(0, One.Old); // Not its turn: only the check keeps it out.
+  One.setPredecessor(0, One.Old); // Not its turn to load.
   One.Agent.Fleet.Joining.Fresh = false;
-  One.reads("run", Digest{"unknown"});
+  One.readEngine("run", Digest{"unknown"});
   BOOST_TEST(!mayServe(One.Agent.Weights));
-  One.reads("other run", Digest{});
+  One.readEngine("other run", Digest{});
   BOOST_TEST(!mayServe(One.Agent.Weights));
-  One.reads("other run", One.New); // By an order of the agent before.
+  One.readEngine("other run", One.New); // Ordered by a former agent.
   BOOST_TEST(mayServe(One.Agent.Weights));
 
-  Waiting Ordering(0.0);
-  BOOST_TEST(Ordering.loads());
-  Ordering.reads("run", Ordering.Old); // Read before the order ended.
+  RolloutWorker Ordering(0.0);
+  BOOST_TEST(Ordering.ordersLoad());
+  Ordering.readEngine("run", Ordering.Old); // Read before the order ended.
   BOOST_TEST(!mayServe(Ordering.Agent.Weights));
   Effects Out;
   loadEnded(Ordering.Agent, std::nullopt, Ordering.Now, Out);
   BOOST_TEST(!mayServe(Ordering.Agent.Weights));
-  Ordering.reads("run", Ordering.New);
+  Ordering.readEngine("run", Ordering.New);
   BOOST_TEST(mayServe(Ordering.Agent.Weights));
 }
 
-// A version is taken back while a worker drains for it: it must serve on.
-BOOST_AUTO_TEST_CASE(ADrainedWorkerServesOnWhenTheVersionIsTakenBack) {
-  Waiting One(0.0);
+// A change of version is reverted while a worker drains for it: it must serve
+// on.
+BOOST_AUTO_TEST_CASE(ADrainingWorkerServesOnWhenTheVersionIsReverted) {
+  RolloutWorker One(0.0);
   One.Agent.Gate.Running = 1;
-  BOOST_TEST(!One.loads());
+  BOOST_TEST(!One.ordersLoad());
   BOOST_TEST(!mayServe(One.Agent.Weights));
   ModelVersion Back;
   Back.Chunks = {sha256("old")};
@@ -191,59 +195,62 @@
   BOOST_TEST(mayServe(One.Agent.Weights));
 }
 
-// A process that was paused or cut off must not order by its old view.
-BOOST_AUTO_TEST_CASE(NothingIsOrderedOnAViewThatIsNotFresh) {
-  Waiting One(0.0);
+// An agent that was paused or cut off must not order loads by an outdated view.
+BOOST_AUTO_TEST_CASE(NoLoadIsOrderedWithAnOutdatedView) {
+  RolloutWorker One(0.0);
   One.Agent.Fleet.Joining.Fresh = false;
-  BOOST_TEST(!One.loads());
+  BOOST_TEST(!One.ordersLoad());
   One.Agent.Fleet.Joining.Fresh = true;
-  BOOST_TEST(One.loads());
+  BOOST_TEST(One.ordersLoad());
 }
 
-// All workers of a model drain in the same second, and callers are refused. The
-// one before this one held all chunks of the set before; those that it fetches
-// of the new one looked like no progress, so that it was given up.
-BOOST_AUTO_TEST_CASE(ChunksOfTheSetBeforeDoNotHideProgress) {
+// Guards against all workers of a model draining at once. The predecessor held
+// all chunks of the previous set, so that the fewer chunks of the new set
+// looked like no progress, and the wait for it timed out.
+BOOST_AUTO_TEST_CASE(ChunksOfThePreviousSetDoNotHideProgress) {
   constexpr uint32_t OfSetBefore = 48;
-  Waiting One(0.75);
-  One.before(0, One.Old, OfSetBefore);
-  One.before(1, One.Old, OfSetBefore);
-  BOOST_TEST(!One.loads());
+  RolloutWorker One(0.75);
+  One.setPredecessor(0, One.Old, OfSetBefore);
+  One.setPredecessor(1, One.Old, OfSetBefore);
+  BOOST_TEST(!One.ordersLoad());
   for (uint32_t n = 0; n < 40; ++n) {
-    One.before(0, One.Old, n);
-    BOOST_TEST(!One.loads(Millis(2000)));
+    One.setPredecessor(0, One.Old, n);
+    BOOST_TEST(!One.ordersLoad(Millis(2000)));
   }
-  One.before(0, One.New, OfSetBefore);
-  BOOST_TEST(One.loads());
+  One.setPredecessor(0, One.New, OfSetBefore);
+  BOOST_TEST(One.ordersLoad());
 }
 
-// Everything lost power. The weights lie staged, yet all callers wait another
-// half second for each agent to ask its peers what is wanted.
-BOOST_AUTO_TEST_CASE(AnEmptyEngineOfTheOwnHostLoadsAtOnce) {
-  Waiting One(0.0);
+// After a power loss of the whole system, with the weights staged, the load
+// must not wait the half second in which each agent asks its peers for the
+// configuration.
+BOOST_AUTO_TEST_CASE(AnEmptyEngineOnTheOwnHostLoadsAtOnce) {
+  RolloutWorker One(0.0);
   One.Agent.Fleet.Joining.Fresh = false;
   One.Agent.Weights.AtEngine = true;
-  BOOST_TEST(!One.loads()); // It serves: what it has may be what is wanted.
-  One.reads("other run", Digest{}); // Restarted; the order goes out.
+  BOOST_TEST(
+      !One.ordersLoad()); // It serves weights that may be the wanted ones.
+  One.readEngine("other run", Digest{}); // Restarted: the load is ordered.
   BOOST_TEST(One.Agent.Weights.Loading);
 }
 
-// Entries begin nothing any more on weights that were replaced long ago. A
-// worker that still waits for its turn to load would stand idle for seconds.
-BOOST_AUTO_TEST_CASE(WeightsThatNobodyUsesAreNotKeptForTheTurn) {
-  Waiting One(0.75);
+// Guards against idle workers: entries start no requests on weights that were
+// replaced long ago, so that a worker with such weights has to load out of
+// turn.
+BOOST_AUTO_TEST_CASE(WeightsTooOldToServeAreReplacedOutOfTurn) {
+  RolloutWorker One(0.75);
   One.Agent.Weights.AtEngine = true;
   One.Agent.Config.WeightsChangeMillis = 8000;
-  One.before(0, One.Old);
-  One.before(1, One.Old);
+  One.setPredecessor(0, One.Old);
+  One.setPredecessor(1, One.Old);
   noteNewest(One.Agent.Weights, One.New, One.Now);
-  BOOST_TEST(!One.loads(Millis(6500)));
-  BOOST_TEST(One.loads(Millis(500)));
+  BOOST_TEST(!One.ordersLoad(Millis(6500)));
+  BOOST_TEST(One.ordersLoad(Millis(500)));
 }
 
-// A version is overtaken before this worker has it: what it serves was replaced
-// when the first of both was named.
-BOOST_AUTO_TEST_CASE(AnotherVersionDoesNotExtendTheTimeOfAFormerOne) {
+// A second version is published before this worker has loaded the first: the
+// weights that it serves count as replaced since the first one was published.
+BOOST_AUTO_TEST_CASE(AFurtherVersionDoesNotExtendTheUseOfAReplacedOne) {
   WeightsState Weights;
   const TimePoint Start{Millis(1000)};
   noteLoaded(Weights, Digest{"1"});
@@ -256,11 +263,10 @@
   BOOST_TEST(!Weights.OutdatedSince);
 }
 
-// An order to load failed, since a staged chunk was damaged. The worker still
-// had weights that had been replaced twice, and its agent took them for
-// replaced since the second time: it gave places on them for longer than
-// entries ask.
-BOOST_AUTO_TEST_CASE(AnOrderThatFailsDoesNotExtendTheTimeOfWhatIsLoaded) {
+// A load failed because a staged chunk was damaged, and the worker kept weights
+// that had been replaced twice. Its agent counted from the second replacement,
+// and granted slots on them for longer than entries ask for any.
+BOOST_AUTO_TEST_CASE(AFailedOrderDoesNotExtendTheUseOfReplacedWeights) {
   WeightsState Weights;
   const TimePoint Start{Millis(1000)};
   noteLoaded(Weights, Digest{"1"});
@@ -273,18 +279,19 @@
 
 namespace {
 
-/** A worker was ordered to load a set, and nothing shows what it took. */
-struct Unconfirmed {
-  Unconfirmed() {
+/** A worker whose order to load a set was not confirmed. */
+struct UnconfirmedOrder {
+  UnconfirmedOrder() {
     Weights.EngineRun = "run 1";
     Weights.Wanted.Set = Set;
     order();
     orderUnconfirmed(Weights);
   }
 
+  /** Sends an order to load the wanted set. */
   LoadOrder order() {
     Effects Out;
-    orderLoad(Weights, ConfigVersion{1}, Out);
+    sendLoadOrder(Weights, ConfigVersion{1}, Out);
     return std::get<LoadWeights>(Out.front()).Order;
   }
 
@@ -294,9 +301,10 @@
 
 } // namespace
 
-// Guards against places on weights that were loaded while a chunk of them was
+// Guards against serving weights that were loaded while one of their chunks was
 // overwritten.
-BOOST_FIXTURE_TEST_CASE(WhatAnUnconfirmedOrderLoadedIsNotServed, Unconfirmed) {
+BOOST_FIXTURE_TEST_CASE(WeightsOfAnUnconfirmedOrderAreNotServed,
+                        UnconfirmedOrder) {
   BOOST_TEST(confirmedSet(Weights, "run 1", Set).Value.empty());
   BOOST_TEST((confirmedSet(Weights, "run 1", Digest{"m@1"}) == Digest{"m@1"}));
   BOOST_TEST(order().Anew);
@@ -304,8 +312,8 @@
   BOOST_TEST((confirmedSet(Weights, "run 1", Set) == Set));
 }
 
-// A worker that was started anew holds nothing of the order before.
-BOOST_FIXTURE_TEST_CASE(ARestartedWorkerIsNotHeldToAnUnconfirmedOrder,
-                        Unconfirmed) {
+// After its restart, an engine has nothing loaded by an earlier order.
+BOOST_FIXTURE_TEST_CASE(AnEngineRestartClearsUnconfirmedOrders,
+                        UnconfirmedOrder) {
   BOOST_TEST((confirmedSet(Weights, "run 2", Set) == Set));
 }
--- a/tests/unit/slow_link_test.cpp
+++ b/tests/unit/slow_link_test.cpp
@@ -1,4 +1,4 @@
-/** @file slow_link_test.cpp Chunks when some links have become narrow. */
+/** @file slow_link_test.cpp Exchange of chunks when some links become slow. */
 // Labels: promise-1 weights
 
 #include "one_host.h"
@@ -9,10 +9,11 @@
 
 namespace {
 
-/** A chunk of one kilobyte takes 8 ms on this link, 80 ms count as slow. */
+/** A chunk of 1000 bytes takes 8 ms on this link; 80 ms count as slow. */
 constexpr double LinkMegabits = 1;
 
-ModelVersion smallChunks(const std::vector<std::string> &Texts) {
+/** Builds a version with chunks of 1000 bytes. */
+ModelVersion makeSmallChunks(const std::vector<std::string> &Texts) {
   ModelVersion Model = version(Texts);
   Model.ChunkBytes = 1000;
   return Model;
@@ -20,12 +21,12 @@
 
 } // namespace
 
-// Replicas would load a new version seconds later than they could. The link of
-// one host becomes narrow: its chunks trickle in, so that it does not count as
-// stalled, and everybody waits for the last ones from there.
-BOOST_AUTO_TEST_CASE(AChunkThatTricklesInIsAskedOfAFasterPeer) {
+// Guards against loads that are delayed by seconds: the link of one host
+// becomes slow, but as some data still arrives it does not count as stalled,
+// and all hosts wait for their last chunks from it.
+BOOST_AUTO_TEST_CASE(ASlowChunkIsRequestedFromAFasterPeer) {
   Host One("w0", LinkMegabits);
-  One.want(smallChunks({"a", "b"}));
+  One.want(makeSmallChunks({"a", "b"}));
   One.have(PeerB, 1);
   BOOST_TEST((One.asked() == std::vector{PeerB}));
   One.Now += Millis(10);
@@ -37,11 +38,11 @@
   BOOST_TEST((One.asked(Millis(1)) == std::vector{PeerB}));
 }
 
-// Where all peers are slow, the own link is the narrow one. Asking others as
-// well would fill it, and the ends of requests would wait behind the chunks.
-BOOST_AUTO_TEST_CASE(ANarrowOwnLinkIsNotFilled) {
+// If all peers are slow, the own link is the slow one. Requests to other peers
+// would congest it and delay the answers of callers.
+BOOST_AUTO_TEST_CASE(ASlowOwnLinkIsNotCongested) {
   Host One("w0", LinkMegabits);
-  One.want(smallChunks({"a", "b", "c"}));
+  One.want(makeSmallChunks({"a", "b", "c"}));
   One.have(PeerA, 1);
   BOOST_TEST((One.asked() == std::vector{PeerA}));
   One.Now += Millis(200);
@@ -52,49 +53,50 @@
   BOOST_TEST((One.asked(Millis(500)) == None));
 }
 
-// Whoever draws a chunk has a narrow link; it is alive and claims the chunk, so
-// all hosts would wait for it with everything else in their hands. Once most
-// chunks are in view the next ranks draw what stays out.
-BOOST_AUTO_TEST_CASE(AnOverdueChunkIsDrawnByTheNextRank) {
+// The host that fetches a chunk from the origin has a slow link, but is alive
+// and announces the chunk, so that all hosts would wait for it. Once most
+// chunks are available, the next ranks fetch the overdue one as well.
+BOOST_AUTO_TEST_CASE(AnOverdueChunkIsFetchedByTheNextRank) {
   Host One;
   const ModelVersion Model = version({"a", "b", "c", "d"});
   One.want(Model);
-  One.asked(Millis(500)); // Draws its own chunk.
+  One.asked(Millis(500)); // Fetches its own chunk.
   const size_t Own = One.Transfer.Plan.Self;
-  const size_t Late = (Own + 3) % 4; // Drawn by the rank before this one.
+  const size_t Late =
+      (Own + 3) % 4; // To be fetched by the host before this one.
   const auto Others = static_cast<uint8_t>(0xFU & ~(1U << Late));
   One.have(PeerA, Others, static_cast<uint8_t>(1U << Late));
   One.asked();
   size_t Waited = 0;
   while (One.drawn() == 0 && Waited < 5000) {
     One.asked(Millis(50));
-    // Other news keep coming: quiet alone would never show it.
-    One.Transfer.LastNews = One.Now;
+    // Other chunks still arrive, so that the time without news does not count.
+    One.Transfer.LastNewsAt = One.Now;
     Waited += 50;
   }
   BOOST_TEST(Waited >= 1000U);
   BOOST_TEST(Waited <= 2500U);
 }
 
-// The origin is down for some seconds. Each host took over all chunks from all
-// others one after the other, and when the origin came back it sent four copies
-// of everything, which took twice as long as one.
-BOOST_AUTO_TEST_CASE(AnOriginThatIsDownIsNotAskedForEverything) {
+// The origin is down for some seconds. Each host then took over the chunks of
+// all others, and after the outage the origin sent four copies of every chunk,
+// which took twice as long as one.
+BOOST_AUTO_TEST_CASE(AnOriginOutageDoesNotMakeHostsTakeOverAllChunks) {
   Host One;
   const ModelVersion Model = version({"a", "b", "c", "d"});
   One.want(Model);
   const size_t Own = One.Transfer.Plan.Self;
-  size_t Draws = 0;
+  size_t Takeovers = 0;
   for (int n = 0; n < 100; ++n) { // Five seconds.
     One.asked(Millis(50));
     for (const Effect &Did : std::vector<Effect>(One.Out)) {
       const auto *Fetch = std::get_if<FetchFromOrigin>(&Did);
       if (Fetch == nullptr)
         continue;
-      Draws += Fetch->Chunk.Number == Own ? 0 : 1;
+      Takeovers += Fetch->Chunk.Number == Own ? 0 : 1;
       chunkFromOrigin(One.Transfer, One.Weights, Fetch->Chunk.Content, {},
                       One.Now, One.Out);
     }
   }
-  BOOST_TEST(Draws <= 5U);
+  BOOST_TEST(Takeovers <= 5U);
 }
--- a/tests/unit/transfer_test.cpp
+++ b/tests/unit/transfer_test.cpp
@@ -1,4 +1,4 @@
-/** @file transfer_test.cpp The exchange of chunks, its clock moved by hand. */
+/** @file transfer_test.cpp Exchange of chunks, with a manual clock. */
 // Labels: promise-1 weights
 
 #include "one_host.h"
@@ -8,9 +8,9 @@
 
 using namespace jacinthpond;
 
-// A user would see an answer from damaged weights. A peer's memory or the way
-// flips a bit of a chunk; the chunk looks whole. Its digest gives it away.
-BOOST_AUTO_TEST_CASE(ABadChunkIsNeverHeldAndIsFetchedElsewhere) {
+// Guards against answers from damaged weights: a bit of a chunk flips in a
+// peer's memory or on the network, which only the digest shows.
+BOOST_AUTO_TEST_CASE(ABadChunkIsDroppedAndFetchedElsewhere) {
   Host One;
   One.want(version({"a"}));
   One.have(PeerA, 1);
@@ -20,13 +20,13 @@
   BOOST_TEST(One.Weights.Held.empty());
   BOOST_TEST((One.asked() == std::vector{PeerB}));
   One.give(PeerB, "a", "a");
-  BOOST_TEST(wholeSetHeld(One.Weights));
+  BOOST_TEST(isWantedSetComplete(One.Weights));
   BOOST_TEST(One.Transfer.Counters.BadChunks == 1U);
 }
 
-// Replicas would wait for ever. The only asked peer freezes with the request
-// open, or its uplink is stuck while its heartbeats still come.
-BOOST_AUTO_TEST_CASE(AStalledPeerIsLeftForAnother) {
+// Guards against workers that wait forever: the only peer with a request
+// freezes, or its uplink is stuck while its heartbeats still arrive.
+BOOST_AUTO_TEST_CASE(AStalledPeerIsReplacedByAnother) {
   Host One;
   One.want(version({"a"}));
   One.have(PeerA, 1);
@@ -38,9 +38,9 @@
   BOOST_TEST((One.asked(Millis(1000)) == std::vector{PeerA}));
 }
 
-// A version is taken back while the next one is under way. Nothing of the new
-// one may be mixed in, and what was there before must not be fetched again.
-BOOST_AUTO_TEST_CASE(AVersionTakenBackInMidTransferKeepsItsChunks) {
+// A change of version is reverted during the transfer. No chunk of the new
+// version may be mixed in, and chunks already held must not be fetched again.
+BOOST_AUTO_TEST_CASE(AVersionRevertedInMidTransferKeepsItsChunks) {
   Host One;
   const ModelVersion Old = version({"a", "b"});
   const ModelVersion New = version({"a", "c"});
@@ -55,8 +55,8 @@
   One.have(PeerB, 3);
   BOOST_TEST((One.asked() == std::vector{PeerB}));
   One.want(Old);
-  BOOST_TEST(wholeSetHeld(One.Weights));
-  One.give(PeerB, "c", "c"); // Late; belongs to no wanted set.
+  BOOST_TEST(isWantedSetComplete(One.Weights));
+  One.give(PeerB, "c", "c"); // Late; not in a wanted set.
   BOOST_TEST(!One.Weights.Held.contains(sha256("c")));
   BOOST_TEST((One.asked() == None));
 }
@@ -70,20 +70,20 @@
     One.give(PeerA, Text, Text);
     BOOST_TEST(One.Weights.Held.size() <= 2U);
   }
-  dropFormerChunks(One.Weights);
+  dropPreviousChunks(One.Weights);
   BOOST_TEST(One.Weights.Held.size() == 1U);
 }
 
-// Exactly one host draws a chunk at once; when it is dead nothing new comes
-// into view, and the others follow one takeover time after the other. A claim
-// of a neighbour puts them off, but not for ever.
-BOOST_AUTO_TEST_CASE(RanksDrawOneAfterTheOther) {
+// Exactly one host fetches a chunk from the origin at once. If no chunk is
+// announced, the others take over one after the other. A peer that announces to
+// import the chunk delays them, but not forever.
+BOOST_AUTO_TEST_CASE(RanksFetchFromTheOriginInTurn) {
   size_t AtOnce = 0;
   for (const std::string Name : {"w0", "w1", "w2", "w3"}) {
     Host One(Name);
     One.want(version({"a"}));
     One.asked();
-    BOOST_TEST(One.drawn() == 0U); // Links may still come about.
+    BOOST_TEST(One.drawn() == 0U); // Links may still be opening.
     One.asked(Millis(500));
     size_t Waited = 500;
     if (One.drawn() > 0)
@@ -101,12 +101,12 @@
   BOOST_TEST(AtOnce == 1U);
 }
 
-// The host that draws a chunk dies. The next one sees its link go and stands
-// in for it while other chunks are still coming, not only when all is quiet.
-BOOST_AUTO_TEST_CASE(TheNextRankStandsInForADeadDrawer) {
+// The host that fetches a chunk from the origin dies. The next rank has to take
+// over when the link is lost, even while other chunks still arrive.
+BOOST_AUTO_TEST_CASE(TheNextRankTakesOverFromADeadHost) {
   Host One;
   One.want(version({"a", "b", "c", "d"}));
-  One.asked(Millis(500)); // Draws its own chunk.
+  One.asked(Millis(500)); // Fetches its own chunk.
   const auto &Hosts = One.Transfer.Plan.Hosts;
   const size_t Before =
       (One.Transfer.Plan.Self + Hosts.size() - 1) % Hosts.size();
@@ -121,8 +121,9 @@
   BOOST_TEST(One.drawn() == 1U);
 }
 
-// A slow receiver must not make the sender's memory grow.
-BOOST_AUTO_TEST_CASE(BacklogAndRateHoldUploadsBack) {
+// Guards against a sender whose memory grows with the backlog of a slow
+// receiver.
+BOOST_AUTO_TEST_CASE(BacklogDelaysUploads) {
   Host One;
   One.want(version({"a"}));
   One.Weights.Held[sha256("a")] = content("a");
@@ -141,16 +142,16 @@
   BOOST_TEST(One.Transfer.Uploads.empty());
 }
 
-// An engine that remembers fencing numbers outlives its agent. The new agent
-// counts from the start and must get through; an old one with an older
-// configuration must not.
-BOOST_AUTO_TEST_CASE(ANewAgentPassesTheFenceAndAnOldVersionNever) {
+// An engine remembers fencing numbers across a restart of its agent. The new
+// agent counts from the start, and its orders must be accepted after some
+// attempts; those of an agent with an older configuration must never be.
+BOOST_AUTO_TEST_CASE(ARestartedAgentPassesTheFenceAnOldVersionDoesNot) {
   WeightsState Before;
   WeightsState After;
   Before.NextFence = 1000;
   const auto Order = [](WeightsState &Weights, uint64_t Version) {
     Effects Out;
-    orderLoad(Weights, ConfigVersion{Version}, Out);
+    sendLoadOrder(Weights, ConfigVersion{Version}, Out);
     return std::get<LoadWeights>(Out[0]).Order.Fence;
   };
   const FencingNumber Known = Order(Before, 7);
