--- a/packages/core/src/weights/origin_draw.cpp
+++ b/packages/core/src/weights/origin_draw.cpp
@@ -115,12 +115,12 @@
         planned(Transfer.Plan) ? originRank(Transfer.Plan, n) : 0;
     if (Rank == 0 || !Transfer.Options.FromPeers)
       continue;
-    // Its other chunks are fetched without another wait for each of them.
+    // The other chunks of the first fetcher need no further waits.
     Transfer.SubstitutedHosts.insert(firstFetcher(Transfer, n));
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                          "fetching chunk " + std::to_string(n) +
+                          "Fetching chunk " + std::to_string(n) +
                               " from the origin as rank " +
-                              std::to_string(Rank)});
+                              std::to_string(Rank) + "."});
   }
 }
 
--- a/packages/core/src/weights/peer_pace.cpp
+++ b/packages/core/src/weights/peer_pace.cpp
@@ -75,6 +75,7 @@
 }
 
 /**
+ * Avoids peers with open requests that have sent nothing for StallTimeout.
  * A peer that is frozen, or behind a link that went silent, would keep requests
  * open forever. Heartbeats detect only some of these cases: a peer may answer
  * them while its uplink is stuck.
@@ -87,12 +88,13 @@
     Peer.AvoidUntil = Now + StallAvoidTime;
     cancelPeerRequests(Transfer, Peer);
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                          "peer " + Peer.Name.Value +
-                              " sends no chunks, requesting them elsewhere"});
+                          "Peer " + Peer.Name.Value +
+                              " sends no chunks; requesting them elsewhere."});
   }
 }
 
 /**
+ * Cancels requests to slow peers, so that they go to faster ones.
  * The link of a peer may become much slower than those of others. As the peer
  * still sends data it does not count as stalled, and all hosts would wait for
  * it for their last chunks. When all peers are slow, the own link is the cause,
--- a/packages/core/src/weights/transfer.cpp
+++ b/packages/core/src/weights/transfer.cpp
@@ -321,17 +321,17 @@
  * @return False when nothing was received or its digest is wrong.
  */
 bool acceptChunk(TransferState &Transfer, WeightsState &Weights,
-                 const Digest &Chunk, const CheckedChunk &Came, TimePoint Now,
-                 Effects &Out) {
+                 const Digest &Chunk, const CheckedChunk &Arrived,
+                 TimePoint Now, Effects &Out) {
   const auto it = Transfer.IndexOf.find(Chunk);
   // The wanted version may have changed since the request.
   if (it == Transfer.IndexOf.end())
     return true;
   ChunkProgress &Progress = Transfer.Chunks[it->second];
   Progress.Requested = Progress.Importing = false;
-  if (Came.Bytes == nullptr)
+  if (Arrived.Bytes == nullptr)
     return false;
-  if (Came.Actual != Chunk) {
+  if (Arrived.Actual != Chunk) {
     ++Transfer.Counters.BadChunks;
     return false;
   }
@@ -339,15 +339,15 @@
     ++Transfer.Counters.Repeated;
     return true;
   }
-  Transfer.RateWindowBytes += Came.Bytes->size();
+  Transfer.RateWindowBytes += Arrived.Bytes->size();
   if (Weights.AtEngine) {
     // Holding two sets in each agent would dominate the memory use of the
     // fleet, and the engine has room for a second set anyway.
     Progress.Requested = true;
-    Out.push_back(StageChunk{chunkRef(Transfer, it->second), Came.Bytes});
+    Out.push_back(StageChunk{chunkRef(Transfer, it->second), Arrived.Bytes});
     return true;
   }
-  addHeldChunk(Transfer, Weights, it->second, Came.Bytes, Now);
+  addHeldChunk(Transfer, Weights, it->second, Arrived.Bytes, Now);
   return true;
 }
 
@@ -444,8 +444,8 @@
 }
 
 void chunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
-                   const Digest &Chunk, const CheckedChunk &Came, TimePoint Now,
-                   Effects &Out) {
+                   const Digest &Chunk, const CheckedChunk &Arrived,
+                   TimePoint Now, Effects &Out) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
@@ -455,11 +455,11 @@
       Index != Transfer.IndexOf.end() &&
       Peer.Requested.erase(Index->second) > 0)
     recordChunkTime(Peer, Now - Transfer.Chunks[Index->second].RequestedAt);
-  if (!acceptChunk(Transfer, Weights, Chunk, Came, Now, Out)) {
+  if (!acceptChunk(Transfer, Weights, Chunk, Arrived, Now, Out)) {
     avoidPeer(Transfer, Peer, Now);
     return;
   }
-  const uint64_t Bytes = Came.Bytes == nullptr ? 0 : Came.Bytes->size();
+  const uint64_t Bytes = Arrived.Bytes == nullptr ? 0 : Arrived.Bytes->size();
   (Peer.SameDomain ? Transfer.Counters.BytesFromPeers
                    : Transfer.Counters.BytesAcross) += Bytes;
 }
@@ -494,12 +494,13 @@
 }
 
 void chunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
-                     const Digest &Chunk, const CheckedChunk &Came,
+                     const Digest &Chunk, const CheckedChunk &Arrived,
                      TimePoint Now, Effects &Out) {
   if (Transfer.OriginRequests > 0)
     --Transfer.OriginRequests;
-  if (acceptChunk(Transfer, Weights, Chunk, Came, Now, Out)) {
-    Transfer.Counters.BytesFromOrigin += Came.Bytes ? Came.Bytes->size() : 0;
+  if (acceptChunk(Transfer, Weights, Chunk, Arrived, Now, Out)) {
+    Transfer.Counters.BytesFromOrigin +=
+        Arrived.Bytes ? Arrived.Bytes->size() : 0;
     return;
   }
   recordOriginFailure(Transfer, Transfer.IndexOf.at(Chunk), Now);
--- a/packages/core/src/weights/transfer_func.h
+++ b/packages/core/src/weights/transfer_func.h
@@ -74,13 +74,13 @@
  * @param Weights State that the chunk is added to.
  * @param Link Link to the peer.
  * @param Chunk The requested chunk.
- * @param Came What was received.
+ * @param Arrived What was received.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
 void chunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
-                   const Digest &Chunk, const CheckedChunk &Came, TimePoint Now,
-                   Effects &Out);
+                   const Digest &Chunk, const CheckedChunk &Arrived,
+                   TimePoint Now, Effects &Out);
 
 /**
  * Handles the answer of the origin to a request for a chunk. A chunk with the
@@ -89,12 +89,12 @@
  * @param Transfer State to change.
  * @param Weights State that the chunk is added to.
  * @param Chunk The requested chunk.
- * @param Came What was received.
+ * @param Arrived What was received.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
 void chunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
-                     const Digest &Chunk, const CheckedChunk &Came,
+                     const Digest &Chunk, const CheckedChunk &Arrived,
                      TimePoint Now, Effects &Out);
 
 /**
--- a/packages/core/src/weights/weights.cpp
+++ b/packages/core/src/weights/weights.cpp
@@ -123,7 +123,7 @@
   Weights.Draining = false;
   Out.push_back(std::move(Load));
   Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                        "loading version " + Weights.Wanted.Version});
+                        "Loading version " + Weights.Wanted.Version + "."});
 }
 
 void orderEnded(WeightsState &Weights, bool Taken, TimePoint Now) {
