--- a/packages/core/src/configuration/config_spread.cpp
+++ b/packages/core/src/configuration/config_spread.cpp
@@ -1,4 +1,4 @@
-/** @file config_spread.cpp How documents reach all processes. */
+/** @file config_spread.cpp Distributes documents among the processes. */
 
 #include "configuration/config_spread_func.h"
 
@@ -16,28 +16,32 @@
 
 namespace {
 
-/** Time after which a pull counts as lost and another peer is asked. */
+/** Time without an answer after which another peer may be pulled from. */
 constexpr Millis PullTimeout{1000};
-/** Time for which a peer of the own domain is waited for, before a document is
- * pulled over a link between regions: a few ways there and back. */
-constexpr Millis NearPullWait{100};
+/** Time to wait for a peer of the own domain to have the document, before it is
+ * pulled over a link between regions: a few round trips. */
+constexpr Millis OwnDomainPullWait{100};
 
-bool isNear(const Membership &Fleet, const PeerLink &Peer) {
+/** Says whether a peer is in the failure domain of this process. */
+bool isInOwnDomain(const Membership &Fleet, const PeerLink &Peer) {
   return Peer.Peer.Domain == Fleet.Self.Domain;
 }
 
 /**
- * Gives the peer to pull from: any of those with the highest version.
- * @param NearOnly Only those of the own domain.
+ * Gives the peer to pull from: one with the highest version, chosen by
+ * rendezvous hashing.
+ * @param OwnDomainOnly Considers only peers of the own domain.
+ * @return The link to it; null when no peer is ahead.
  */
 const PeerLink *newestPeer(const ConfigView &View, const Membership &Fleet,
-                           bool NearOnly) {
+                           bool OwnDomainOnly) {
   const PeerLink *Best = nullptr;
   uint64_t BestScore = 0;
   const std::string Key =
       Fleet.Self.Name.Value + "/" + std::to_string(Fleet.Pull.Sent);
   for (const auto &[Link, Peer] : Fleet.Links) {
-    if (!isAhead(View, Peer) || (NearOnly && !isNear(Fleet, Peer)))
+    if (!isPeerAhead(View, Peer) ||
+        (OwnDomainOnly && !isInOwnDomain(Fleet, Peer)))
       continue;
     const uint64_t Score = rendezvousScore(Key, Peer.Peer.Name.Value);
     const bool Better = Best == nullptr || Peer.Version > Best->Version ||
@@ -51,9 +55,11 @@
 }
 
 /**
- * Gives the peer to pull from now. Each domain has readers of the service, so
- * that a document is usually to be had near, and needs to cross to each domain
- * only once.
+ * Gives the peer to pull from now, preferably one of the own domain. Each
+ * domain has readers of the configuration service, so a document is usually
+ * available in the own domain and is transferred into each domain only once.
+ * @return The link to it; null when there is none or a peer of the own domain
+ * is still waited for.
  */
 const PeerLink *peerToPullFrom(const ConfigView &View, Membership &Fleet,
                                TimePoint Now) {
@@ -66,24 +72,26 @@
     Fleet.Pull.BehindSince = Now;
   if (const PeerLink *Near = newestPeer(View, Fleet, true))
     return Near;
-  const bool Waited = Now - *Fleet.Pull.BehindSince >= NearPullWait;
+  const bool Waited = Now - *Fleet.Pull.BehindSince >= OwnDomainPullWait;
   return Waited || !viewIsFresh(Fleet) ? Any : nullptr;
 }
 
-/** Raises an alarm when a peer has another document of the same version. */
-void compareDigests(const ConfigView &View, Membership &Fleet,
-                    ConfigVersion Theirs, const Digest &TheirDigest,
-                    Effects &Out) {
+/** Logs an error when a peer has a different document of the same version. */
+void reportVersionConflict(const ConfigView &View, Membership &Fleet,
+                           ConfigVersion Theirs, const Digest &TheirDigest,
+                           Effects &Out) {
   if (!View.InForce || Theirs != versionInForce(View) ||
-      TheirDigest == digestInForce(View) || TheirDigest == Fleet.AlarmedDigest)
+      TheirDigest == digestInForce(View) ||
+      TheirDigest == Fleet.ReportedConflict)
     return;
-  Fleet.AlarmedDigest = TheirDigest;
+  Fleet.ReportedConflict = TheirDigest;
   Out.push_back(LogNote{LogPart::Config, LogLevel::Error,
-                        "A peer has another document with version " +
+                        "A peer has a different document of version " +
                             std::to_string(Theirs.Value) +
-                            "; the first one seen is kept."});
+                            "; keeping the first one seen."});
 }
 
+/** Answers a pull with a newer document, or a probe without any. */
 void answerPull(const ConfigView &View, const Membership &Fleet, LinkId Link,
                 const ConfigPull &Pull, Effects &Out) {
   ConfigPush Push;
@@ -93,16 +101,17 @@
   Out.push_back(SendMessage{Link, Push});
 }
 
-/** A peer that leaves may reach only this process: the others are told. */
-void tellDeparture(Membership &Fleet, LinkId Link, TimePoint Now,
-                   Effects &Out) {
+/** Relays that a peer is leaving: it may reach no other process itself. */
+void relayDeparture(Membership &Fleet, LinkId Link, TimePoint Now,
+                    Effects &Out) {
   const PeerLink &Peer = Fleet.Links.at(Link);
   if (Peer.Leaving && Peer.State == LinkState::Ready)
-    departureHeard(Fleet, {Peer.Peer.Name, Peer.Peer.Run, 0}, Now, Out);
+    recordDeparture(Fleet, {Peer.Peer.Name, Peer.Peer.Run, 0}, Now, Out);
 }
 
-FleetNews takePush(ConfigView &View, Membership &Fleet, LinkId Link,
-                   const ConfigPush &Push, TimePoint Now, Effects &Out) {
+/** Handles a peer's answer to a pull or probe. */
+FleetNews handlePush(ConfigView &View, Membership &Fleet, LinkId Link,
+                     const ConfigPush &Push, TimePoint Now, Effects &Out) {
   PeerLink &Peer = Fleet.Links.at(Link);
   Peer.Answered = true;
   Peer.AnsweredFresh = Peer.AnsweredFresh || Push.Fresh;
@@ -110,32 +119,33 @@
     return FleetNews::Handled;
   if (Fleet.Pull.Link == Link)
     Fleet.Pull.Link.reset();
-  const OfferResult Became = takeDocument(View, Fleet, Push.Text, Now, Out);
-  // Validation is the same everywhere, so only another program version sends
-  // an invalid document; it must not be pulled again and again.
-  if (Became == OfferResult::Invalid)
+  const OfferResult Verdict = takeDocument(View, Fleet, Push.Text, Now, Out);
+  // Validation is the same everywhere, so only a peer with another program
+  // version sends an invalid document. It must not be pulled repeatedly.
+  if (Verdict == OfferResult::Invalid)
     Peer.PushRefused = true;
-  return Became == OfferResult::Accepted ? FleetNews::NewDocument
-                                         : FleetNews::Handled;
+  return Verdict == OfferResult::Accepted ? FleetNews::NewDocument
+                                          : FleetNews::Handled;
 }
 
 } // namespace
 
 OfferResult takeDocument(ConfigView &View, Membership &Fleet,
                          std::string_view Text, TimePoint Now, Effects &Out) {
-  const OfferResult Became = offerDocument(View, Text, Now);
-  if (Became == OfferResult::Invalid)
+  const OfferResult Verdict = offerDocument(View, Text, Now);
+  if (Verdict == OfferResult::Invalid)
     Out.push_back(LogNote{LogPart::Config, LogLevel::Warn,
-                          "Document refused: " + View.LastRefusal});
-  if (Became == OfferResult::Conflict)
+                          "Document rejected: " + View.LastRefusal});
+  if (Verdict == OfferResult::Conflict)
     Out.push_back(LogNote{LogPart::Config, LogLevel::Error,
-                          "Two documents with one version; first one kept."});
-  if (Became != OfferResult::Accepted)
-    return Became;
-  // A process that stood still, or was out of touch, hears late of what was
-  // published meanwhile. Bounds that run from the publication would be longer
-  // by that time if they were counted from when it was heard.
-  View.PublishedAfter = Fleet.Joining.KnownCurrent;
+                          "Two documents of the same version; keeping the "
+                          "first one."});
+  if (Verdict != OfferResult::Accepted)
+    return Verdict;
+  // A process that was stopped or out of contact learns late of a document that
+  // was published meanwhile. Time limits that begin with the publication would
+  // be longer by that delay if they were counted from the arrival.
+  View.PublishedAfter = Fleet.Joining.KnownCurrentAt;
   Fleet.Pull.BehindSince.reset();
   Fleet.Self.Version = versionInForce(View);
   Fleet.Self.ConfigDigest = digestInForce(View);
@@ -151,19 +161,20 @@
           (View.PublishedAfter
                ? std::to_string(toMillis(Now - *View.PublishedAfter).count())
                : "-")});
-  // Entries tell everybody at once. What an agent adds is for its own domain;
-  // all agents telling all others would be most bytes between regions.
+  // Entries tell all peers at once, agents only those of their own domain:
+  // heartbeats from all agents to all others would be most of the traffic
+  // between regions.
   if (Fleet.Self.Sender == Role::Agent)
-    sendHeartbeatsNear(Fleet, View, Now, Out);
+    sendHeartbeatsInDomain(Fleet, View, Now, Out);
   else
     sendHeartbeats(Fleet, View, Now, Out);
-  return Became;
+  return Verdict;
 }
 
 void pullWhenBehind(const ConfigView &View, Membership &Fleet, TimePoint Now,
                     Effects &Out) {
-  // A document has up to 1 MB and every peer may offer it at the same moment:
-  // one pull at a time, given up when its link is gone or stays silent.
+  // A document may have 1 MB, and all peers may report it at the same moment.
+  // So there is one pull at a time, abandoned when its link is lost or silent.
   const bool UnderWay = Fleet.Pull.Link &&
                         Fleet.Links.contains(*Fleet.Pull.Link) &&
                         Now - Fleet.Pull.At < PullTimeout;
@@ -181,48 +192,51 @@
 FleetNews fleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
                        const Message &m, TimePoint Now, Effects &Out) {
   return std::visit(
-      Overloaded{
-          [&](const Hello &Peer) {
-            helloHeard(Fleet, Link, Peer);
-            noteLinkReady(Peer, Out);
-            const bool NewEntry = rosterHello(Fleet, Link, Peer, Now, Out);
-            compareDigests(View, Fleet, Peer.Version, Peer.ConfigDigest, Out);
-            pullWhenBehind(View, Fleet, Now, Out);
-            return NewEntry ? FleetNews::NewEntry : FleetNews::Handled;
-          },
-          [&](const EntrySeen &Seen) {
-            return entrySeen(Fleet, Seen, Now, Out) ? FleetNews::NewEntry
-                                                    : FleetNews::Handled;
-          },
-          [&](const Heartbeat &Beat) {
-            heartbeatHeard(Fleet, Link, Beat, Now);
-            tellDeparture(Fleet, Link, Now, Out);
-            compareDigests(View, Fleet, Beat.Version, Beat.ConfigDigest, Out);
-            pullWhenBehind(View, Fleet, Now, Out);
-            return FleetNews::Handled;
-          },
-          [&](const LeavingNotice &Notice) {
-            departureHeard(Fleet, Notice, Now, Out);
-            return FleetNews::Handled;
-          },
-          [&](const ConfigPull &Pull) {
-            answerPull(View, Fleet, Link, Pull, Out);
-            return FleetNews::Handled;
-          },
-          [&](const ConfigPush &Push) {
-            return takePush(View, Fleet, Link, Push, Now, Out);
-          },
-          [](const auto &) { return FleetNews::NotMine; }},
+      Overloaded{[&](const Hello &Peer) {
+                   handleHello(Fleet, Link, Peer);
+                   logLinkReady(Peer, Out);
+                   const bool NewEntry =
+                       exchangeEntries(Fleet, Link, Peer, Now, Out);
+                   reportVersionConflict(View, Fleet, Peer.Version,
+                                         Peer.ConfigDigest, Out);
+                   pullWhenBehind(View, Fleet, Now, Out);
+                   return NewEntry ? FleetNews::NewEntry : FleetNews::Handled;
+                 },
+                 [&](const EntrySeen &Seen) {
+                   return handleEntrySeen(Fleet, Seen, Now, Out)
+                              ? FleetNews::NewEntry
+                              : FleetNews::Handled;
+                 },
+                 [&](const Heartbeat &Beat) {
+                   heartbeatHeard(Fleet, Link, Beat, Now);
+                   relayDeparture(Fleet, Link, Now, Out);
+                   reportVersionConflict(View, Fleet, Beat.Version,
+                                         Beat.ConfigDigest, Out);
+                   pullWhenBehind(View, Fleet, Now, Out);
+                   return FleetNews::Handled;
+                 },
+                 [&](const LeavingNotice &Notice) {
+                   recordDeparture(Fleet, Notice, Now, Out);
+                   return FleetNews::Handled;
+                 },
+                 [&](const ConfigPull &Pull) {
+                   answerPull(View, Fleet, Link, Pull, Out);
+                   return FleetNews::Handled;
+                 },
+                 [&](const ConfigPush &Push) {
+                   return handlePush(View, Fleet, Link, Push, Now, Out);
+                 },
+                 [](const auto &) { return FleetNews::NotMine; }},
       m);
 }
 
 std::vector<LinkId> fleetTick(const ConfigView &View, Membership &Fleet,
                               TimePoint Now, Effects &Out) {
-  noteStall(Fleet, Now);
-  const std::vector<LinkId> Silent = membershipTick(Fleet, View, Now, Out);
-  departureTick(Fleet, Now, Out);
-  rosterTick(Fleet, Now);
-  joinTick(View, Fleet, Now, Out);
+  detectStall(Fleet, Now);
+  const std::vector<LinkId> Silent = tickMembership(Fleet, View, Now, Out);
+  tickDepartures(Fleet, Now, Out);
+  removeStaleEntries(Fleet, Now);
+  tickJoin(View, Fleet, Now, Out);
   pullWhenBehind(View, Fleet, Now, Out);
   return Silent;
 }
--- a/packages/core/src/configuration/config_spread_func.h
+++ b/packages/core/src/configuration/config_spread_func.h
@@ -1,7 +1,8 @@
-/** @file config_spread_func.h How documents reach all processes.
+/** @file config_spread_func.h Distributes documents among the processes.
  *
- * The same for entries and agents: hello and heartbeat messages tell the
- * version in force, whoever is behind pulls the document from one peer.
+ * Entries and agents do the same: hello and heartbeat messages carry the
+ * version in force, and a process that is behind pulls the document from one
+ * peer.
  */
 
 #ifndef JACINTHPOND_CORE_CONFIG_SPREAD_FUNC_H
@@ -15,29 +16,30 @@
 
 namespace jacinthpond {
 
-/** What a message between processes came to. */
+/** Result of handling a message between processes. */
 enum class FleetNews : uint8_t {
-  NotMine,     ///< The message is about something else.
+  NotMine,     ///< The message concerns neither membership nor configuration.
   Handled,     ///< Nothing more to do.
-  NewDocument, ///< Another document came into force.
+  NewDocument, ///< A new document came into force.
   NewEntry     ///< An entry became known, or has moved.
 };
 
 /**
- * Takes a document and tells all peers when it came into force.
+ * Validates a document, puts it in force when it is newer, and sends heartbeats
+ * with the new version.
  * @param View State to change.
  * @param Fleet State to change.
  * @param Text The document; not trusted.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return What became of it.
+ * @return Whether it came into force; else why not.
  */
 OfferResult takeDocument(ConfigView &View, Membership &Fleet,
                          std::string_view Text, TimePoint Now, Effects &Out);
 
 /**
  * Pulls the document from one peer when some peer has a newer one and no pull
- * is under way.
+ * is pending.
  * @param View The configuration.
  * @param Fleet State to change.
  * @param Now Current time.
@@ -47,25 +49,25 @@
                     Effects &Out);
 
 /**
- * Takes the messages that membership and configuration are made of.
+ * Handles the messages of membership and configuration.
  * @param View State to change.
  * @param Fleet State to change.
- * @param Link Over which link it came.
+ * @param Link Link that it arrived on.
  * @param m The message.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return What it came to.
+ * @return What the caller has to react to.
  */
 FleetNews fleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
                        const Message &m, TimePoint Now, Effects &Out);
 
 /**
- * Looks at the time for membership, join and configuration.
+ * Does the periodic work of membership, join and configuration.
  * @param View The configuration.
  * @param Fleet State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return Links that were dropped as silent.
+ * @return Links that were closed as silent.
  */
 std::vector<LinkId> fleetTick(const ConfigView &View, Membership &Fleet,
                               TimePoint Now, Effects &Out);
--- a/packages/core/src/configuration/config_view.cpp
+++ b/packages/core/src/configuration/config_view.cpp
@@ -1,4 +1,4 @@
-/** @file config_view.cpp Accepting documents from service and peers. */
+/** @file config_view.cpp Accepts documents from the service and peers. */
 
 #include "configuration/config_view_func.h"
 
--- a/packages/core/src/configuration/config_view_func.h
+++ b/packages/core/src/configuration/config_view_func.h
@@ -1,4 +1,4 @@
-/** @file config_view_func.h Accepting documents from service and peers. */
+/** @file config_view_func.h Accepts documents from the service and peers. */
 
 #ifndef JACINTHPOND_CORE_CONFIG_VIEW_FUNC_H
 #define JACINTHPOND_CORE_CONFIG_VIEW_FUNC_H
@@ -10,11 +10,12 @@
 namespace jacinthpond {
 
 /**
- * Takes a document from the service or a peer.
+ * Validates a document from the configuration service or a peer and puts it in
+ * force when its version is newer.
  * @param View State to change.
  * @param Text The document; not trusted.
  * @param Now Current time.
- * @return What became of it.
+ * @return Whether it came into force; else why not.
  */
 OfferResult offerDocument(ConfigView &View, std::string_view Text,
                           TimePoint Now);
@@ -22,14 +23,14 @@
 /**
  * Gives the version in force.
  * @param View The view.
- * @return The version; 0 for none.
+ * @return The version; 0 when no document is in force.
  */
 ConfigVersion versionInForce(const ConfigView &View);
 
 /**
- * Gives the digest in force.
+ * Gives the digest of the document in force.
  * @param View The view.
- * @return The digest; empty for none.
+ * @return The digest; empty when no document is in force.
  */
 Digest digestInForce(const ConfigView &View);
 
--- a/packages/core/src/configuration/config_view_type.h
+++ b/packages/core/src/configuration/config_view_type.h
@@ -11,25 +11,25 @@
 
 namespace jacinthpond {
 
-/** What became of a document that was offered. */
+/** Result of offering a document. */
 enum class OfferResult : uint8_t {
-  Accepted, ///< Now in force.
-  Same,     ///< In force already.
+  Accepted, ///< It came into force.
+  Same,     ///< The same text is in force already.
   Older,    ///< A newer one is in force.
-  Invalid,  ///< Refused by validation.
-  Conflict  ///< Same version with another content; the first one stays.
+  Invalid,  ///< It failed validation.
+  Conflict  ///< Same version, other content; the first one stays.
 };
 
-/** The highest valid version ever seen; it never goes back. */
+/** The document in force: the highest valid version ever seen. */
 struct ConfigView {
   DocumentPtr InForce; ///< Null until the first one is accepted.
   TimePoint Since;     ///< When it came into force.
-  /** It was not published before this; nothing: not known. Earlier than Since
-   * by as long as this process was out of touch. */
+  /** Earliest time at which it can have been published; empty: unknown. Before
+   * Since by as long as this process was out of contact. */
   std::optional<TimePoint> PublishedAfter;
   uint64_t Refused = 0;    ///< Invalid documents seen.
-  uint64_t Conflicts = 0;  ///< Documents with a version taken already.
-  std::string LastRefusal; ///< Faults of the last invalid document.
+  uint64_t Conflicts = 0;  ///< Other documents with the version in force.
+  std::string LastRefusal; ///< Validation errors of the last invalid document.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/configuration/document.cpp
+++ b/packages/core/src/configuration/document.cpp
@@ -1,4 +1,4 @@
-/** @file document.cpp Validation of and look-ups in the document. */
+/** @file document.cpp Validates documents and looks up their elements. */
 
 #include "configuration/document_func.h"
 
@@ -17,16 +17,16 @@
 
 namespace {
 
-/** Limits of the document's values; times in milliseconds. */
+/** Largest values allowed in a document; times in milliseconds. */
 constexpr int64_t MaxMillis = 24LL * 3600 * 1000;
 constexpr int64_t MaxPriority = 100;
 constexpr int64_t MaxWeight = 1000;
 constexpr int64_t MaxChunkBytes = 8 << 20;
 constexpr int64_t MaxTotalBytes = int64_t{1} << 40;
-/** Largest document taken, in bytes: routes of a large fleet, and its workers.
- */
+/** Largest document accepted, in bytes: enough for the routes and workers of a
+ * large fleet. */
 constexpr size_t MaxDocumentBytes = 8 << 20;
-/** Longest lists; well above the size that the system is designed for. */
+/** Longest lists; well above the fleet size that the system is designed for. */
 constexpr size_t MaxClasses = 256;
 constexpr size_t MaxTenants = 10000;
 constexpr size_t MaxModels = 256;
@@ -42,11 +42,12 @@
 constexpr int64_t MaxRouteWeight = 1000000;
 constexpr int64_t MaxConnectionsAllowed = 1000000;
 
+/** Gives the path of a list's element, such as "workers[3]". */
 std::string elementPath(const char *List, size_t n) {
   return std::string(List) + "[" + std::to_string(n) + "]";
 }
 
-/** Reads a list of objects, each by one function. */
+/** Reads a list of objects, each with ReadOne, and reports unknown keys. */
 template <typename T, typename Function>
 std::vector<T> readList(ObjectReader &Root, const char *Key, size_t Max,
                         FaultList &Faults, Function &&ReadOne) {
@@ -59,9 +60,9 @@
   return All;
 }
 
-/** Reads one word out of a table of names. */
+/** Reads an enum value by its name; Names lists them in enum order. */
 template <typename Enum, size_t Size>
-Enum readWord(ObjectReader &Reader, const char *Key,
+Enum readEnum(ObjectReader &Reader, const char *Key,
               const std::array<std::string_view, Size> &Names) {
   const std::string Word = Reader.text(Key, true);
   const auto it = std::ranges::find(Names, Word);
@@ -71,14 +72,16 @@
   return static_cast<Enum>(0);
 }
 
+/** Turns texts into a set of typed names. */
 template <typename Id>
-std::set<Id> idSet(const std::vector<std::string> &From) {
+std::set<Id> toIdSet(const std::vector<std::string> &From) {
   std::set<Id> Ids;
   std::ranges::transform(From, std::inserter(Ids, Ids.end()),
                          [](const std::string &Text) { return Id{Text}; });
   return Ids;
 }
 
+/** Reads a class of work; it has either a model or a service. */
 WorkClass readClass(ObjectReader &Reader) {
   WorkClass Class;
   Class.Name.Value = Reader.text("name", true);
@@ -103,21 +106,23 @@
   return Class;
 }
 
+/** Reads a workspace. */
 Tenant readTenant(ObjectReader &Reader) {
-  Tenant Customer;
-  Customer.Name.Value = Reader.text("name", true);
-  Customer.Weight =
+  Tenant Parsed;
+  Parsed.Name.Value = Reader.text("name", true);
+  Parsed.Weight =
       static_cast<uint32_t>(Reader.number("weight", false, 1, 1, MaxWeight));
-  Customer.Keys = Reader.texts("keys");
+  Parsed.Keys = Reader.texts("keys");
   constexpr int64_t NoRank = -1;
   const int64_t Rank =
       Reader.number("rank", false, NoRank, NoRank, MaxPriority);
   if (Rank != NoRank)
-    Customer.Rank = static_cast<uint32_t>(Rank);
-  Customer.Regions = idSet<RegionName>(Reader.texts("regions"));
-  return Customer;
+    Parsed.Rank = static_cast<uint32_t>(Rank);
+  Parsed.Regions = toIdSet<RegionName>(Reader.texts("regions"));
+  return Parsed;
 }
 
+/** Reads the wanted version of a model, with its chunk list or origin. */
 ModelVersion readModel(ObjectReader &Reader) {
   ModelVersion Model;
   Model.Name.Value = Reader.text("name", true);
@@ -145,6 +150,7 @@
   return Model;
 }
 
+/** Reads a worker; it runs either a model or a service. */
 Worker readWorker(ObjectReader &Reader) {
   Worker Host;
   Host.Name.Value = Reader.text("name", true);
@@ -157,6 +163,7 @@
   return Host;
 }
 
+/** Reads an entry host. */
 EntryHost readEntry(ObjectReader &Reader) {
   EntryHost Host;
   Host.Name.Value = Reader.text("name", true);
@@ -166,6 +173,7 @@
   return Host;
 }
 
+/** Reads a route and its targets. */
 Route readRoute(ObjectReader &Reader) {
   Route One;
   One.Name = Reader.text("name", true);
@@ -174,7 +182,7 @@
   if (!One.Prefix.starts_with('/') || !One.Prefix.ends_with('/'))
     Reader.fault("prefix", "\"" + One.Prefix + "\"",
                  "a path that begins and ends with a slash");
-  One.Kind = readWord<RouteKind>(Reader, "kind", RouteKindNames);
+  One.Kind = readEnum<RouteKind>(Reader, "kind", RouteKindNames);
   One.Resumable = Reader.flag("resumable", false);
   One.Anonymous = Reader.flag("anonymous", false);
   One.MaxAttempts = static_cast<uint32_t>(
@@ -187,7 +195,7 @@
       Millis(Reader.number("longest_silence_ms", false, 0, 0, MaxMillis));
   One.Rank =
       static_cast<uint32_t>(Reader.number("rank", false, 0, 0, MaxPriority));
-  One.Regions = idSet<RegionName>(Reader.texts("regions"));
+  One.Regions = toIdSet<RegionName>(Reader.texts("regions"));
   for (const Json *Part : Reader.list("targets", MaxTargets)) {
     ObjectReader Row(*Part, Reader.pathOf("targets"), Reader.faults());
     RouteTarget Target;
@@ -202,6 +210,7 @@
   return One;
 }
 
+/** Reads a service that routes lead to. */
 Service readService(ObjectReader &Reader) {
   Service One;
   One.Name.Value = Reader.text("name", true);
@@ -214,6 +223,7 @@
   return One;
 }
 
+/** Reads a backend server of a service. */
 BackEndServer readServer(ObjectReader &Reader) {
   BackEndServer One;
   One.Id.Value = Reader.text("id", true);
@@ -228,6 +238,7 @@
   return One;
 }
 
+/** Reads the bounds on what callers send. */
 CallerLimits readLimits(ObjectReader &Reader) {
   CallerLimits One;
   One.MaxHeadBytes = static_cast<uint32_t>(Reader.number(
@@ -241,6 +252,7 @@
   return One;
 }
 
+/** Reads the region of each failure domain. */
 std::map<DomainName, RegionName> readRegions(ObjectReader &Root) {
   std::map<DomainName, RegionName> RegionOf;
   for (const Json *Element : Root.list("domains", MaxDomains)) {
@@ -252,27 +264,28 @@
   return RegionOf;
 }
 
+/** Reads a team of the administration API. */
 Team readTeam(ObjectReader &Reader) {
   Team One;
   One.Name = Reader.text("name", true);
   One.TokenDigest.Value = Reader.digest("token_sha256");
   One.Operator = Reader.flag("operator", false);
-  One.Classes = idSet<ClassName>(Reader.texts("classes"));
-  One.Tenants = idSet<TenantName>(Reader.texts("tenants"));
+  One.Classes = toIdSet<ClassName>(Reader.texts("classes"));
+  One.Tenants = toIdSet<TenantName>(Reader.texts("tenants"));
   return One;
 }
 
-/** Reports every name that stands twice in a list. */
+/** Reports each duplicate name in a list. */
 template <typename List, typename Projection>
-void refuseTwins(const List &All, const char *Key, Projection Name,
-                 FaultList &Faults) {
+void checkUniqueNames(const List &All, const char *Key, Projection Name,
+                      FaultList &Faults) {
   std::set<std::string> Seen;
   for (const auto &Element : All)
     if (!Seen.insert(Name(Element)).second)
       Faults.add(Key, "\"" + Name(Element) + "\" twice", "each name once");
 }
 
-/** Reports names that point to nothing. */
+/** Reports references to models and domains that the document lacks. */
 void checkReferences(const Document &Doc, FaultList &Faults) {
   for (const WorkClass &Class : Doc.Classes)
     if (Class.Kind == BackEndKind::Model &&
@@ -296,17 +309,19 @@
                  "the domain of a worker or entry");
 }
 
-void checkTwins(const Document &Doc, FaultList &Faults) {
+/** Reports duplicate names in the lists whose elements have unique names. */
+void checkAllNamesUnique(const Document &Doc, FaultList &Faults) {
   const auto Name = [](const auto &Element) { return Element.Name.Value; };
-  refuseTwins(Doc.Classes, "classes", Name, Faults);
-  refuseTwins(Doc.Tenants, "tenants", Name, Faults);
-  refuseTwins(Doc.Models, "models", Name, Faults);
-  refuseTwins(Doc.Workers, "workers", Name, Faults);
-  refuseTwins(Doc.Entries, "entries", Name, Faults);
-  refuseTwins(
+  checkUniqueNames(Doc.Classes, "classes", Name, Faults);
+  checkUniqueNames(Doc.Tenants, "tenants", Name, Faults);
+  checkUniqueNames(Doc.Models, "models", Name, Faults);
+  checkUniqueNames(Doc.Workers, "workers", Name, Faults);
+  checkUniqueNames(Doc.Entries, "entries", Name, Faults);
+  checkUniqueNames(
       Doc.Teams, "teams", [](const Team &One) { return One.Name; }, Faults);
 }
 
+/** Reads and checks the whole document; appends what is wrong to Faults. */
 Document readDocument(const Json &Value, FaultList &Faults) {
   Document Doc;
   ObjectReader Root(Value, "", Faults);
@@ -322,7 +337,7 @@
       readList<Worker>(Root, "workers", MaxWorkers, Faults, readWorker);
   Doc.Entries =
       readList<EntryHost>(Root, "entries", MaxEntries, Faults, readEntry);
-  Doc.DomainsOut = idSet<DomainName>(Root.texts("domains_out"));
+  Doc.DomainsOut = toIdSet<DomainName>(Root.texts("domains_out"));
   Doc.Teams = readList<Team>(Root, "teams", MaxTeams, Faults, readTeam);
   Doc.Routes = readList<Route>(Root, "routes", MaxRoutes, Faults, readRoute);
   Doc.Services =
@@ -338,7 +353,7 @@
   Doc.RetryHorizon = Millis(Root.number(
       "retry_horizon_ms", false, Doc.RetryHorizon.count(), 100, MaxMillis));
   Root.refuseUnknown();
-  checkTwins(Doc, Faults);
+  checkAllNamesUnique(Doc, Faults);
   checkReferences(Doc, Faults);
   return Doc;
 }
@@ -374,6 +389,7 @@
 
 namespace {
 
+/** Finds the element with a name; null when there is none. */
 template <typename List, typename Id>
 auto findByName(const List &All, const Id &Name) -> decltype(All.data()) {
   const auto it = std::ranges::find_if(
--- a/packages/core/src/configuration/document_change.cpp
+++ b/packages/core/src/configuration/document_change.cpp
@@ -10,36 +10,40 @@
 
 namespace {
 
+/** Gives the name of an element of a list. */
 std::string nameOf(const Team &One) { return One.Name; }
 template <typename T> std::string nameOf(const T &One) {
   return One.Name.Value;
 }
 
+/** Finds the element of a list with the same name; null when there is none. */
 template <typename T>
-const T *sameName(const std::vector<T> &All, const T &Wanted) {
+const T *findSameName(const std::vector<T> &All, const T &Wanted) {
   const auto it = std::ranges::find_if(
       All, [&](const T &One) { return nameOf(One) == nameOf(Wanted); });
   return it == All.end() ? nullptr : &*it;
 }
 
+/** Lists the elements that were added, removed or changed, by name. */
 template <typename T>
-ListChange compare(const char *List, const std::vector<T> &Old,
-                   const std::vector<T> &New) {
+ListChange compareLists(const char *List, const std::vector<T> &Old,
+                        const std::vector<T> &New) {
   ListChange Change;
   Change.List = List;
   for (const T &One : New) {
-    const T *Before = sameName(Old, One);
+    const T *Before = findSameName(Old, One);
     if (Before == nullptr)
       Change.Added.push_back(nameOf(One));
     else if (!(*Before == One))
       Change.Changed.push_back(nameOf(One));
   }
   for (const T &One : Old)
-    if (sameName(New, One) == nullptr)
+    if (findSameName(New, One) == nullptr)
       Change.Removed.push_back(nameOf(One));
   return Change;
 }
 
+/** Lists the domains that were taken out or brought back. */
 ListChange compareDomains(const std::set<DomainName> &Old,
                           const std::set<DomainName> &New) {
   ListChange Change;
@@ -53,6 +57,7 @@
   return Change;
 }
 
+/** Counts the workers whose wanted weights differ between two documents. */
 uint32_t workersToLoad(const Document &Old, const Document &New) {
   return static_cast<uint32_t>(
       std::ranges::count_if(New.Workers, [&](const Worker &Host) {
@@ -73,12 +78,12 @@
   Change.InForce = Old.Version;
   Change.Candidate = Candidate.Version;
   Change.WouldApply = Candidate.Version > Old.Version;
-  Change.Lists = {compare("classes", Old.Classes, Candidate.Classes),
-                  compare("tenants", Old.Tenants, Candidate.Tenants),
-                  compare("models", Old.Models, Candidate.Models),
-                  compare("workers", Old.Workers, Candidate.Workers),
-                  compare("entries", Old.Entries, Candidate.Entries),
-                  compare("teams", Old.Teams, Candidate.Teams),
+  Change.Lists = {compareLists("classes", Old.Classes, Candidate.Classes),
+                  compareLists("tenants", Old.Tenants, Candidate.Tenants),
+                  compareLists("models", Old.Models, Candidate.Models),
+                  compareLists("workers", Old.Workers, Candidate.Workers),
+                  compareLists("entries", Old.Entries, Candidate.Entries),
+                  compareLists("teams", Old.Teams, Candidate.Teams),
                   compareDomains(Old.DomainsOut, Candidate.DomainsOut)};
   Change.WorkersToLoad = workersToLoad(Old, Candidate);
   return Change;
--- a/packages/core/src/configuration/document_change_func.h
+++ b/packages/core/src/configuration/document_change_func.h
@@ -9,10 +9,10 @@
 namespace jacinthpond {
 
 /**
- * Works out what a candidate would change.
+ * Compares a candidate with the document in force.
  * @param InForce Document in force; null counts as empty.
  * @param Candidate A valid document.
- * @return The changes.
+ * @return What publishing the candidate would change.
  */
 DocumentChange changeOf(const Document *InForce, const Document &Candidate);
 
--- a/packages/core/src/configuration/document_change_type.h
+++ b/packages/core/src/configuration/document_change_type.h
@@ -12,9 +12,9 @@
 
 /** Changes of one list of the document. */
 struct ListChange {
-  std::string List;                 ///< Its key, as in "classes".
+  std::string List;                 ///< Its key, such as "classes".
   std::vector<std::string> Added;   ///< Names only in the candidate.
-  std::vector<std::string> Removed; ///< Names only in force.
+  std::vector<std::string> Removed; ///< Names only in the document in force.
   std::vector<std::string> Changed; ///< Names whose content differs.
 };
 
--- a/packages/core/src/configuration/document_func.h
+++ b/packages/core/src/configuration/document_func.h
@@ -1,4 +1,4 @@
-/** @file document_func.h Validation of and look-ups in the document. */
+/** @file document_func.h Validates documents, looks up their elements. */
 
 #ifndef JACINTHPOND_CORE_DOCUMENT_FUNC_H
 #define JACINTHPOND_CORE_DOCUMENT_FUNC_H
@@ -11,27 +11,27 @@
 namespace jacinthpond {
 
 /**
- * Parses and validates a published document. A pure function of the text, so
- * that every process accepts or rejects alike.
+ * Parses and validates a published document. The result depends on the text
+ * alone, so that all processes accept the same documents.
  * @param Text JSON with comments; not trusted.
- * @return The document, or ErrorKind::InvalidDocument with all faults, one a
- *         line: path, what was found, what is allowed.
+ * @return The document, or ErrorKind::InvalidDocument with all faults, one
+ *         per line: path, what was found, what is allowed.
  */
 Result<DocumentPtr> parseDocument(std::string_view Text);
 
 /**
- * Works out the digest that names a set of weights.
+ * Computes the digest that identifies a set of weights.
  * @param Chunks Digests of its chunks, in order.
  * @return SHA-256 over the concatenated hex digests.
  */
 Digest weightsSetDigest(const std::vector<Digest> &Chunks);
 
 /**
- * Names a set of weights whose chunk list is read from its origin: the
- * publisher vouches that a version of a model never changes.
+ * Gives the identifier of a set of weights whose chunk list is read from its
+ * origin. The publisher guarantees that a version of a model never changes.
  * @param Model The model.
  * @param Version Its version.
- * @return Name in place of a digest over the chunks.
+ * @return "MODEL@VERSION", in place of a digest over the chunks.
  */
 Digest publishedSet(const ModelName &Model, const std::string &Version);
 
@@ -63,7 +63,7 @@
  * Says whether a worker's back end serves a class.
  * @param Host The worker.
  * @param Class The class.
- * @return True when model or service agree.
+ * @return True when the worker runs the model or service of the class.
  */
 bool servesClass(const Worker &Host, const WorkClass &Class);
 
--- a/packages/core/src/configuration/reader_rank.cpp
+++ b/packages/core/src/configuration/reader_rank.cpp
@@ -1,4 +1,4 @@
-/** @file reader_rank.cpp Who reads the configuration service, and when. */
+/** @file reader_rank.cpp Decides who reads the configuration service. */
 
 #include "configuration/reader_rank_func.h"
 
@@ -15,18 +15,19 @@
 
 namespace {
 
-/** Longest wait of one watch. */
-constexpr Millis MaxWatch{2000};
-/** Time between two looks of an entry that is no reader. */
-constexpr Millis LookPeriod{200};
-/** Time for which changes are gathered after the service has answered; small
- * against the seconds in which a change has to be in force. */
-constexpr Millis GatherTime{120};
-/** Shortest and longest mean wait after a read that brought nothing. */
+/** Longest time that a read asks the service to wait for a new document. */
+constexpr Millis MaxWatchWait{2000};
+/** Period at which an entry that is no reader checks whether it became one. */
+constexpr Millis RecheckPeriod{200};
+/** Wait after an answer of the service, so that changes published meanwhile are
+ * read together; short against the seconds in which they must be in force. */
+constexpr Millis BatchDelay{120};
+/** Shortest mean wait after a read without a usable answer, and how often it
+ * doubles. */
 constexpr Millis MinBackoff{250};
 constexpr uint32_t MaxBackoffShift = 4;
 
-/** Wait after failures in a row: 50% to 150% of a doubling mean. */
+/** Gives the wait after repeated failures: 50% to 150% of a doubling mean. */
 Millis backoff(uint32_t Failures, uint64_t Random) {
   if (Failures == 0)
     return Millis{0};
@@ -50,22 +51,23 @@
 bool isReader(const ConfigView &View, const Membership &Fleet) {
   if (!View.InForce || !viewIsFresh(Fleet))
     return true;
-  // Where nobody in view is answered, it may be those that read who are cut off
-  // from the service, or turned away by it.
+  // When no linked entry is answered, the present readers may be cut off from
+  // the service or rejected by it.
   if (!anybodyAnswered(Fleet, Fleet.LastTick))
     return true;
-  size_t Before = 0;
+  size_t HigherRanked = 0;
   const std::vector<EntryHost> All = knownEntries(View.InForce.get(), Fleet);
   for (const HostName &Name : readerOrder(All, Fleet.Self.Domain)) {
     if (Name == Fleet.Self.Name)
       break;
     const PeerLink *Peer = readyLink(Fleet, Name);
-    // One that waits after failures, or is turned away, reads nothing: when the
-    // service answers again, whoever is answered first reads on until they do.
+    // A reader that backs off or is rejected by the service reads nothing and
+    // doesn't count. So whichever entry is answered first after an outage goes
+    // on reading until the others are answered as well.
     if (Peer != nullptr && !Peer->Leaving && Peer->Service)
-      ++Before;
+      ++HigherRanked;
   }
-  return Before < ReadersPerDomain;
+  return HigherRanked < ReadersPerDomain;
 }
 
 ReadTurn nextRead(const ConfigView &View, const Membership &Fleet,
@@ -75,36 +77,36 @@
   Turn.After = versionInForce(View);
   Turn.InForce = digestInForce(View);
   if (!Turn.Reader) {
-    Turn.Delay = LookPeriod;
+    Turn.Delay = RecheckPeriod;
     return Turn;
   }
   const uint64_t Random =
       rendezvousScore(Fleet.Self.Name.Value, std::to_string(Salt));
-  // Servers register and load in crowds: what is published within a moment is
-  // read, and told to the whole fleet, together.
+  // Servers tend to register and load at the same time: changes published in
+  // short succession are read, and distributed to the fleet, together.
   Turn.Delay = Fleet.Joining.ReadFailures > 0
                    ? backoff(Fleet.Joining.ReadFailures, Random)
-                   : GatherTime;
+                   : BatchDelay;
   if (!Fleet.Joining.ServiceAnswered && Fleet.Joining.ReadFailures == 0)
     Turn.Delay = Millis{0};
-  // The first read of a join must not wait for news; later ones must be
-  // answered well within the time after which a silent service counts.
+  // The first read of a join must not wait for a new document; later ones must
+  // be answered well within CutOff, after which the service counts as silent.
   if (Fleet.Joining.ServiceAnswered)
-    Turn.Wait = std::min(MaxWatch, Fleet.Times.CutOff / 2);
+    Turn.Wait = std::min(MaxWatchWait, Fleet.Times.CutOff / 2);
   return Turn;
 }
 
 void readEnded(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
                TimePoint Now) {
   Join &Joining = Fleet.Joining;
-  // A service that went back to an older version, or holds an invalid
-  // document, answers every watch at once: without back-off its readers would
-  // use up the rate of the whole fleet.
+  // A service that has gone back to an older version or holds an invalid
+  // document answers every read at once: without back-off, its readers would
+  // use up the request rate allowed to the whole fleet.
   Joining.ReadFailures = Answered && Useful ? 0 : Joining.ReadFailures + 1;
   if (!Answered)
     return;
-  // An answer to a read begun before a pause tells of the time before it: it
-  // may have waited here while the service went away.
+  // An answer to a read that began before a pause may have waited in the socket
+  // while the service went down, so it shows no contact.
   if (Began < Joining.Since)
     return;
   Joining.ServiceHeard = Now;
--- a/packages/core/src/configuration/reader_rank_func.h
+++ b/packages/core/src/configuration/reader_rank_func.h
@@ -1,4 +1,4 @@
-/** @file reader_rank_func.h Who reads the configuration service, and when. */
+/** @file reader_rank_func.h Decides who reads the configuration service. */
 
 #ifndef JACINTHPOND_CORE_READER_RANK_FUNC_H
 #define JACINTHPOND_CORE_READER_RANK_FUNC_H
@@ -9,42 +9,43 @@
 
 namespace jacinthpond {
 
-/** Entries of a domain that read the service at the same time. */
+/** Entries of a domain that read the configuration service concurrently. */
 constexpr size_t ReadersPerDomain = 2;
 
 /**
- * Orders the entries of a domain by their rank as readers.
+ * Ranks the entries of a domain as readers, by rendezvous hashing.
  * @param Entries All entries.
  * @param Domain The domain.
- * @return Names, first rank first.
+ * @return Their names, in order of rank.
  */
 std::vector<HostName> readerOrder(const std::vector<EntryHost> &Entries,
                                   const DomainName &Domain);
 
 /**
- * Says whether this entry reads the service: it is among the first ranks that
- * are heard of, or has no fresh view and needs the service for it.
+ * Says whether this entry is to read the configuration service: it is among the
+ * first ranks of its domain that the service answers, has no fresh view, or the
+ * service answers no linked entry.
  * @param View The configuration.
  * @param Fleet The state.
- * @return True for a reader.
+ * @return True when it is a reader.
  */
 bool isReader(const ConfigView &View, const Membership &Fleet);
 
 /**
- * Decides on the next read.
+ * Decides when and how this entry reads the configuration service next.
  * @param View The configuration.
  * @param Fleet The state.
  * @param Salt Varies the jitter.
- * @return What to do.
+ * @return The next read, or the wait until the next decision.
  */
 ReadTurn nextRead(const ConfigView &View, const Membership &Fleet,
                   uint64_t Salt);
 
 /**
- * A read ended: counts for contact, join and back-off.
+ * Records the result of a read, for contact, join and back-off.
  * @param Fleet State to change.
- * @param Answered False when the service gave no answer.
- * @param Useful False when its answer cannot come into force.
+ * @param Answered Whether the service answered.
+ * @param Useful Whether its answer is in force or can come into force.
  * @param Began When the read began.
  * @param Now Current time.
  */
--- a/packages/core/src/configuration/reader_rank_type.h
+++ b/packages/core/src/configuration/reader_rank_type.h
@@ -1,4 +1,4 @@
-/** @file reader_rank_type.h What a reader of the configuration service does. */
+/** @file reader_rank_type.h Next read of the configuration service. */
 
 #ifndef JACINTHPOND_CORE_READER_RANK_TYPE_H
 #define JACINTHPOND_CORE_READER_RANK_TYPE_H
@@ -8,13 +8,13 @@
 
 namespace jacinthpond {
 
-/** What to do next with the configuration service. */
+/** Next read of the configuration service, or the wait until a decision. */
 struct ReadTurn {
-  bool Reader = false; ///< False: look again after Delay.
-  Millis Delay{0};     ///< Wait before the read, or before the next look.
-  ConfigVersion After; ///< Version in force.
+  bool Reader = false; ///< False: no read; decide again after Delay.
+  Millis Delay{0};     ///< Wait before the read, or until the next decision.
+  ConfigVersion After; ///< Version in force; only a newer one is of interest.
   Digest InForce;      ///< Digest of the document in force.
-  Millis Wait{0};      ///< Longest wait of the watch.
+  Millis Wait{0};      ///< How long the service may wait for a new document.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/membership/departure_func.h
+++ b/packages/core/src/membership/departure_func.h
@@ -1,9 +1,10 @@
-/** @file departure_func.h Hosts that leave, as told by list, peer or host.
+/** @file departure_func.h Tracks hosts that are leaving the fleet.
  *
- * The platform's list is read by few and lags; a leaving process may reach
- * only one peer. Whoever learns of a departure tells all its peers, with the
- * age of what it knows. The age only grows on the way, so a departure that
- * nobody confirms any more is forgotten everywhere.
+ * A departure is reported by the platform's list of hosts, by the host itself
+ * or by a peer. Few processes read the list, and it lags; a leaving process may
+ * reach only one peer. So each process that learns of a departure relays it to
+ * all its peers, with the age of the report. The age only grows on the way, so
+ * a departure that is not reported again expires everywhere.
  */
 
 #ifndef JACINTHPOND_CORE_DEPARTURE_FUNC_H
@@ -18,47 +19,50 @@
 namespace jacinthpond {
 
 /**
- * The list of hosts was read.
+ * Records the departures in the platform's list of hosts.
  * @param Fleet State to change.
- * @param Named Hosts that it names as leaving.
+ * @param LeavingHosts Hosts that the list names as leaving.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void hostListRead(Membership &Fleet, const std::vector<HostName> &Named,
+void hostListRead(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
                   TimePoint Now, Effects &Out);
 
 /**
- * A host was said to leave.
+ * Records a reported departure, unless the report has expired, and relays a
+ * new one to all peers.
  * @param Fleet State to change.
- * @param Notice Who, and how long ago that was known.
+ * @param Notice The leaving host, and the age of the report.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void departureHeard(Membership &Fleet, const LeavingNotice &Notice,
-                    TimePoint Now, Effects &Out);
+void recordDeparture(Membership &Fleet, const LeavingNotice &Notice,
+                     TimePoint Now, Effects &Out);
 
 /**
- * Says whether a host leaves.
+ * Says whether a host is leaving.
  * @param Fleet The state.
  * @param Name Its name.
  * @param Run Its incarnation.
- * @return True when it leaves: it gets no new work.
+ * @return True when it is leaving and must get no new work.
  */
 bool isDeparting(const Membership &Fleet, const HostName &Name,
                  Incarnation Run);
 
 /**
- * Forgets what nobody confirms; tells peers the rest with each heartbeat.
+ * Removes expired departures and relays the others to all peers with each
+ * heartbeat.
  * @param Fleet State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void departureTick(Membership &Fleet, TimePoint Now, Effects &Out);
+void tickDepartures(Membership &Fleet, TimePoint Now, Effects &Out);
 
 /**
- * This process leaves: tells all peers and asks each for an answer.
+ * Tells all peers that this process is leaving, and asks each of them to
+ * acknowledge it.
  * @param Fleet State to change.
- * @param View What heartbeats say is in force.
+ * @param View Configuration that heartbeats report as in force.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -66,10 +70,10 @@
                      Effects &Out);
 
 /**
- * Says whether every peer knows that this process leaves. All work that they
- * sent before they knew has arrived by then.
+ * Says whether every peer has acknowledged that this process is leaving. All
+ * work that they sent before has arrived by then.
  * @param Fleet The state.
- * @return False while an answer is missing on a ready link.
+ * @return False while an acknowledgement is missing on a ready link.
  */
 bool leavingIsKnown(const Membership &Fleet);
 
--- a/packages/core/src/membership/join.cpp
+++ b/packages/core/src/membership/join.cpp
@@ -1,4 +1,4 @@
-/** @file join.cpp Making the view of the fleet fresh, and losing it. */
+/** @file join.cpp Decides whether the view of the fleet is fresh. */
 
 #include "membership/join_func.h"
 
@@ -11,31 +11,35 @@
 
 namespace {
 
-/** Time between two questions to a peer that has not answered. */
+/** Time between two probes of a peer that has not answered. */
 constexpr Millis ProbePeriod{300};
-/** Gap between two ticks, of 50 ms, after which what waits in the sockets may
- * be old. BeginMargin in weights.cpp, the margin of what is decided by the age
- * of news, has to be longer. */
+/** Gap between two ticks, normally 50 ms, after which messages that wait in the
+ * sockets may be out of date. BeginMargin in weights.cpp, the margin of
+ * decisions by a document's age, has to be longer. */
 constexpr Millis StallGap{1000};
-/** Heartbeats of a peer after which the ones from before a stall are read. */
-constexpr int StallBeats = 2;
+/** Heartbeat periods after a stall in which the backlog of the sockets is
+ * read. */
+constexpr int StallHeartbeats = 2;
 
+/** Says whether the peer's hello has arrived on a link. */
 bool isReady(const PeerLink &Link) { return Link.State == LinkState::Ready; }
 
-/** True when a reachable peer has a version that is not in force here. */
-bool peerIsAhead(const ConfigView &View, const Membership &Fleet) {
-  return std::ranges::any_of(
-      Fleet.Links, [&](const auto &Row) { return isAhead(View, Row.second); });
+/** Says whether a ready peer can give a newer version than is in force here. */
+bool isAnyPeerAhead(const ConfigView &View, const Membership &Fleet) {
+  return std::ranges::any_of(Fleet.Links, [&](const auto &Row) {
+    return isPeerAhead(View, Row.second);
+  });
 }
 
-bool freshPeerAnswered(const Membership &Fleet) {
+/** Says whether a ready peer has answered a probe with a fresh view. */
+bool hasFreshPeerAnswer(const Membership &Fleet) {
   return std::ranges::any_of(Fleet.Links, [](const auto &Row) {
     return isReady(Row.second) && Row.second.AnsweredFresh;
   });
 }
 
-/** True when every wanted peer has answered or could not be reached. */
-bool peersAreAsked(const Membership &Fleet) {
+/** Says whether every wanted peer has answered or could not be reached. */
+bool hasProbedAllPeers(const Membership &Fleet) {
   return std::ranges::all_of(Fleet.Wanted, [&](const auto &Row) {
     const WantedPeer &Peer = Row.second;
     if (!Peer.Link)
@@ -46,21 +50,24 @@
 }
 
 /**
- * Decides whether the view became fresh. A new process may have read a stale
- * service: it would bring back a domain that was taken out. So every peer is
- * asked first, and no reachable one may be ahead.
+ * Says whether the view has become fresh. A new process may have read an old
+ * document from a stale configuration service and would use a domain again that
+ * was taken out. So every peer is probed first, and no reachable one may be
+ * ahead.
  */
-bool mayFinish(const ConfigView &View, const Membership &Fleet, TimePoint Now) {
-  if (!View.InForce || peerIsAhead(View, Fleet) || !inContact(Fleet, Now))
+bool canFinishJoin(const ConfigView &View, const Membership &Fleet,
+                   TimePoint Now) {
+  if (!View.InForce || isAnyPeerAhead(View, Fleet) || !isInContact(Fleet, Now))
     return false;
   if (Fleet.Self.Sender == Role::Agent)
-    return freshPeerAnswered(Fleet);
+    return hasFreshPeerAnswer(Fleet);
   const bool Waited = Now - Fleet.Joining.Since >= Fleet.Times.JoinWait;
-  if (!Waited && !peersAreAsked(Fleet))
+  if (!Waited && !hasProbedAllPeers(Fleet))
     return false;
-  return freshPeerAnswered(Fleet) || Fleet.Joining.ServiceAnswered;
+  return hasFreshPeerAnswer(Fleet) || Fleet.Joining.ServiceAnswered;
 }
 
+/** Probes each ready peer that has not answered with a fresh view. */
 void probePeers(const ConfigView &View, Membership &Fleet, TimePoint Now,
                 Effects &Out) {
   for (auto &[Link, Peer] : Fleet.Links) {
@@ -72,38 +79,44 @@
   }
 }
 
-/** Gives when the service, or a peer who would tell of news at once, was heard
- * last; nothing: neither is there. */
-std::optional<TimePoint> lastWord(const Membership &Fleet) {
+/**
+ * Gives the last contact with the configuration service or with a peer that
+ * would report a new document at once. While the service answers nobody, any
+ * ready peer counts.
+ * @return The time; empty when there was no such contact.
+ */
+std::optional<TimePoint> lastAuthoritativeContact(const Membership &Fleet) {
   std::optional<TimePoint> Last = Fleet.Joining.ServiceHeard;
   const bool Agent = Fleet.Self.Sender == Role::Agent;
-  std::optional<TimePoint> OfAnyone;
+  std::optional<TimePoint> LastOfAnyPeer;
   for (const auto &[Id, Link] : Fleet.Links) {
     if (!isReady(Link))
       continue;
-    const bool Tells =
+    const bool ReportsNews =
         Link.Peer.Sender == Role::Entry && (Agent ? Link.Fresh : Link.Service);
-    OfAnyone = std::max(OfAnyone, std::optional(Link.LastHeard));
-    if (Tells)
+    LastOfAnyPeer = std::max(LastOfAnyPeer, std::optional(Link.LastHeard));
+    if (ReportsNews)
       Last = std::max(Last, std::optional(Link.LastHeard));
   }
-  // A service that answers nobody publishes nothing: the time for which it is
-  // away must not count as age of what it publishes next.
+  // A service that answers nobody publishes nothing: its downtime must not
+  // count towards the age of the next document.
   return anybodyAnswered(Fleet, Fleet.LastTick) ? Last
-                                                : std::max(Last, OfAnyone);
+                                                : std::max(Last, LastOfAnyPeer);
 }
 
-/** Notes until when nothing published can have escaped this process. */
-void noteCurrent(const ConfigView &View, Membership &Fleet, TimePoint Now) {
-  if (Now < Fleet.Joining.DoubtUntil || peerIsAhead(View, Fleet))
+/** Advances the time up to which this process knows of every published
+ * document, unless a backlog is being read or a peer is ahead. */
+void updateKnownCurrent(const ConfigView &View, Membership &Fleet,
+                        TimePoint Now) {
+  if (Now < Fleet.Joining.BacklogUntil || isAnyPeerAhead(View, Fleet))
     return;
-  Fleet.Joining.KnownCurrent =
-      std::max(Fleet.Joining.KnownCurrent, lastWord(Fleet));
+  Fleet.Joining.KnownCurrentAt =
+      std::max(Fleet.Joining.KnownCurrentAt, lastAuthoritativeContact(Fleet));
 }
 
 } // namespace
 
-bool isAhead(const ConfigView &View, const PeerLink &Peer) {
+bool isPeerAhead(const ConfigView &View, const PeerLink &Peer) {
   return isReady(Peer) && !Peer.PushRefused &&
          Peer.Version > versionInForce(View);
 }
@@ -143,20 +156,21 @@
   }
 }
 
-bool inContact(const Membership &Fleet, TimePoint Now) {
+bool isInContact(const Membership &Fleet, TimePoint Now) {
   const auto &Heard = Fleet.Joining.ServiceHeard;
   if (Heard && Now - *Heard <= Fleet.Times.CutOff)
     return true;
-  // Entries judge for themselves; an agent is in contact through any entry
-  // that is. Two cut-off processes can so never vouch for each other.
+  // For an entry, a linked entry that the service answers counts as contact;
+  // for an agent, a linked entry with a fresh view. So two processes that are
+  // cut off cannot count as each other's contact.
   const bool Agent = Fleet.Self.Sender == Role::Agent;
-  const bool Vouched = std::ranges::any_of(Fleet.Links, [&](const auto &Row) {
+  const bool HasEntry = std::ranges::any_of(Fleet.Links, [&](const auto &Row) {
     const PeerLink &Peer = Row.second;
     return isReady(Peer) && Peer.Peer.Sender == Role::Entry &&
            (Agent ? Peer.Fresh : Peer.Service);
   });
-  if (Agent || Vouched)
-    return Vouched;
+  if (Agent || HasEntry)
+    return HasEntry;
   const auto Reachable =
       std::ranges::count_if(Fleet.Wanted, [&](const auto &Row) {
         return readyLink(Fleet, Row.first) != nullptr;
@@ -164,9 +178,9 @@
   return static_cast<size_t>(Reachable) * 2 > Fleet.Wanted.size();
 }
 
-void noteStall(Membership &Fleet, TimePoint Now) {
+void detectStall(Membership &Fleet, TimePoint Now) {
   if (Now - Fleet.LastTick > StallGap)
-    Fleet.Joining.DoubtUntil = Now + Fleet.Times.Heartbeat * StallBeats;
+    Fleet.Joining.BacklogUntil = Now + Fleet.Times.Heartbeat * StallHeartbeats;
 }
 
 bool anybodyAnswered(const Membership &Fleet, TimePoint Now) {
@@ -179,32 +193,32 @@
   });
 }
 
-void joinTick(const ConfigView &View, Membership &Fleet, TimePoint Now,
+void tickJoin(const ConfigView &View, Membership &Fleet, TimePoint Now,
               Effects &Out) {
   Join &Joining = Fleet.Joining;
   if (Joining.Fresh) {
-    noteCurrent(View, Fleet, Now);
-    if (inContact(Fleet, Now))
+    updateKnownCurrent(View, Fleet, Now);
+    if (isInContact(Fleet, Now))
       Joining.LastContact = Now;
     if (Now - Joining.LastContact <= Fleet.Times.CutOff)
       return;
-    // What was published meanwhile cannot be known here: a domain may have
-    // been taken out. Refusing costs the callers one more try elsewhere.
+    // Documents that were published meanwhile are unknown here: a domain may
+    // have been taken out. A refusal costs the caller one retry elsewhere.
     Out.push_back(LogNote{LogPart::Config, LogLevel::Error,
-                          "Cut off from the fleet; new work is refused."});
+                          "Lost contact with the fleet; refusing new work."});
     restartJoin(Fleet, Now);
     sendHeartbeats(Fleet, View, Now, Out);
   }
   probePeers(View, Fleet, Now, Out);
-  if (!mayFinish(View, Fleet, Now))
+  if (!canFinishJoin(View, Fleet, Now))
     return;
   Joining.Fresh = true;
   Joining.WasFresh = true;
   Fleet.Self.Fresh = true;
   Joining.LastContact = Now;
-  noteCurrent(View, Fleet, Now);
+  updateKnownCurrent(View, Fleet, Now);
   Out.push_back(LogNote{LogPart::Config, LogLevel::Info,
-                        "View is fresh at version " +
+                        "View of the fleet is fresh at version " +
                             std::to_string(versionInForce(View).Value) + "."});
   sendHeartbeats(Fleet, View, Now, Out);
 }
--- a/packages/core/src/membership/join_func.h
+++ b/packages/core/src/membership/join_func.h
@@ -1,4 +1,4 @@
-/** @file join_func.h Making the view of the fleet fresh, and losing it. */
+/** @file join_func.h Decides whether the view of the fleet is fresh. */
 
 #ifndef JACINTHPOND_CORE_JOIN_FUNC_H
 #define JACINTHPOND_CORE_JOIN_FUNC_H
@@ -11,9 +11,10 @@
 namespace jacinthpond {
 
 /**
- * Sets up the membership of a new process, which joins the fleet.
+ * Creates the membership state of a new process, with a view that is not fresh
+ * yet.
  * @param Config Its settings.
- * @param Sender What it is.
+ * @param Sender Whether it is an entry or an agent.
  * @param Run Its random incarnation.
  * @param Now Current time.
  * @return The state, without links.
@@ -25,59 +26,63 @@
  * Says whether a peer can give a version that is not in force here.
  * @param View The configuration.
  * @param Peer The link to it.
- * @return False too for one whose document was refused.
+ * @return True when it can; false also when its document was refused here.
  */
-bool isAhead(const ConfigView &View, const PeerLink &Peer);
+bool isPeerAhead(const ConfigView &View, const PeerLink &Peer);
 
 /**
- * Says whether new work may be taken and given on the present view.
+ * Says whether the view of the fleet is fresh, so that new work may be accepted
+ * and sent.
  * @param Fleet The state.
  * @return True while the view is fresh.
  */
 bool viewIsFresh(const Membership &Fleet);
 
 /**
- * The view is not trusted any more: peers have to be asked again.
+ * Marks the view as no longer fresh and forgets the peers' answers, so that all
+ * peers are probed again.
  * @param Fleet State to change.
  * @param Now Current time.
  */
 void restartJoin(Membership &Fleet, TimePoint Now);
 
 /**
- * Says whether this process can learn what is published: from the service,
- * from a reader of it, or because most of the fleet it knew is reachable and
- * would know.
+ * Says whether this process can learn of new documents: the configuration
+ * service answers it, a ready entry vouches for contact, or, for an entry, most
+ * wanted peers are reachable and would know.
  * @param Fleet The state.
  * @param Now Current time.
- * @return False when it is cut off.
+ * @return False when this process is cut off.
  */
-bool inContact(const Membership &Fleet, TimePoint Now);
+bool isInContact(const Membership &Fleet, TimePoint Now);
 
 /**
- * Asks peers while the view is not fresh, and notices when it became fresh or
- * when this process was cut off.
+ * Probes peers while the view is not fresh, and updates whether it is: it
+ * becomes fresh when the join is complete, and stale when this process has been
+ * cut off for too long.
  * @param View The configuration.
  * @param Fleet State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void joinTick(const ConfigView &View, Membership &Fleet, TimePoint Now,
+void tickJoin(const ConfigView &View, Membership &Fleet, TimePoint Now,
               Effects &Out);
 
 /**
- * Notices that this process did not run for a moment, too short for a pause:
- * what is read next was sent before it. Called before the tick is noted.
+ * Detects that this process did not run for a while, too short for a pause: the
+ * messages that it reads next were sent before. To be called before
+ * tickMembership(), which updates the time of the last tick.
  * @param Fleet State to change.
  * @param Now Current time.
  */
-void noteStall(Membership &Fleet, TimePoint Now);
+void detectStall(Membership &Fleet, TimePoint Now);
 
 /**
- * Says whether the service has answered this process or an entry in view of
- * late.
+ * Says whether the configuration service has lately answered this process or a
+ * linked entry.
  * @param Fleet The state.
  * @param Now Current time.
- * @return False when nobody seems to be answered.
+ * @return False when it seems to answer nobody.
  */
 bool anybodyAnswered(const Membership &Fleet, TimePoint Now);
 
--- a/packages/core/src/membership/link_subset_func.h
+++ b/packages/core/src/membership/link_subset_func.h
@@ -1,4 +1,4 @@
-/** @file link_subset_func.h Which peers an entry keeps links to. */
+/** @file link_subset_func.h Chooses the peers that an entry keeps links to. */
 
 #ifndef JACINTHPOND_CORE_LINK_SUBSET_FUNC_H
 #define JACINTHPOND_CORE_LINK_SUBSET_FUNC_H
@@ -18,13 +18,13 @@
 constexpr size_t WorkersPerModel = 64;
 
 /**
- * Chooses the peers of an entry. In a small fleet these are all; in a large
- * one a part that follows from the names alone, so that links are spread
- * evenly and stay when other hosts come or go.
+ * Chooses the peers that an entry keeps links to. In a small fleet these are
+ * all; in a large one a subset by rendezvous hashing of the names, so that
+ * links are spread evenly and stay when other hosts join or leave.
  * @param Doc The document.
  * @param Entries All entries; see roster_func.h.
  * @param Self The entry.
- * @return Peers to keep links to.
+ * @return The chosen peers.
  */
 std::vector<PeerAddress> linkSubset(const Document &Doc,
                                     const std::vector<EntryHost> &Entries,
--- a/packages/core/src/membership/membership.cpp
+++ b/packages/core/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-/** @file membership.cpp Keeping links and noticing that they are lost. */
+/** @file membership.cpp Keeps links to peers and detects lost ones. */
 
 #include "membership/membership_func.h"
 
@@ -11,15 +11,15 @@
 
 namespace {
 
-/** Longest wait between tries, as a multiple of the shortest one. */
+/** Longest wait between attempts to connect, as a multiple of the shortest. */
 constexpr uint32_t MaxBackoffFactor = 8;
-/** Size of a heartbeat that leaves out digests; see codec_test. */
+/** Approximate size of a heartbeat without digests; see codec_test. */
 constexpr size_t HeartbeatBytes = 40;
-/** Bytes a second that heartbeats before their time may cost. */
-constexpr size_t EarlyBytesPerSecond = 5000;
+/** Bytes per second that heartbeats ahead of schedule may take. */
+constexpr size_t EarlyHeartbeatBytesPerSecond = 5000;
 
-/** Forgets a link and plans the next try to its peer. */
-void forgetLink(Membership &Fleet, LinkId Link, TimePoint Now) {
+/** Removes a link and schedules the next attempt to connect to its peer. */
+void removeLink(Membership &Fleet, LinkId Link, TimePoint Now) {
   const auto it = Fleet.Links.find(Link);
   const bool WasReady =
       it != Fleet.Links.end() && it->second.State == LinkState::Ready;
@@ -37,14 +37,18 @@
   Wanted.NextTry = Now + Fleet.Times.Reconnect * Factor;
 }
 
-/** A peer that ends closes its link; one that stands still says nothing. */
-void noteSilent(Membership &Fleet, LinkId Link) {
+/**
+ * Records that a ready peer fell silent. A process that ends closes its links,
+ * so a silent one is stopped or cut off.
+ */
+void recordSilentPeer(Membership &Fleet, LinkId Link) {
   const auto it = Fleet.Links.find(Link);
   if (it != Fleet.Links.end() && it->second.State == LinkState::Ready)
     Fleet.Silent.insert(it->second.Peer.Name);
 }
 
-void openWanted(Membership &Fleet, TimePoint Now, Effects &Out) {
+/** Opens a link to each wanted peer that has none and whose retry is due. */
+void openWantedLinks(Membership &Fleet, TimePoint Now, Effects &Out) {
   for (auto &[Name, Peer] : Fleet.Wanted) {
     if (Peer.Link || Now < Peer.NextTry)
       continue;
@@ -97,12 +101,12 @@
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end())
     return;
-  it->second.State = LinkState::Greeted;
+  it->second.State = LinkState::HelloSent;
   it->second.LastHeard = Now;
   Out.push_back(SendMessage{Link, Fleet.Self});
 }
 
-void noteLinkReady(const Hello &Peer, Effects &Out) {
+void logLinkReady(const Hello &Peer, Effects &Out) {
   Out.push_back(
       LogNote{LogPart::Links, LogLevel::Info,
               "event=dependency_back name=peer peer=" + Peer.Name.Value +
@@ -125,10 +129,10 @@
 }
 
 void linkClosed(Membership &Fleet, LinkId Link, TimePoint Now) {
-  forgetLink(Fleet, Link, Now);
+  removeLink(Fleet, Link, Now);
 }
 
-void helloHeard(Membership &Fleet, LinkId Link, const Hello &Peer) {
+void handleHello(Membership &Fleet, LinkId Link, const Hello &Peer) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end())
     return;
@@ -149,11 +153,11 @@
 }
 
 /**
- * Leaves digests out of a heartbeat when the peer has them. They are two
- * thirds of its bytes and seldom change; a link keeps the order and loses
- * nothing, so the peer's copy is the one sent last.
+ * Omits the digests from a heartbeat when the peer has them already. They are
+ * two thirds of its bytes and seldom change; a link delivers in order and
+ * without loss, so the peer's copy is the one sent last.
  */
-static void leaveOutDigests(Heartbeat &Beat, PeerLink &Peer) {
+static void omitKnownDigests(Heartbeat &Beat, PeerLink &Peer) {
   Beat.SameDigests = Beat.Sequence > 1 &&
                      Peer.SentConfigDigest == Beat.ConfigDigest &&
                      Peer.SentWeights == Beat.Load.Weights;
@@ -165,6 +169,7 @@
   Beat.Load.Weights = {};
 }
 
+/** Sends the next heartbeat over a link, unless it is still being opened. */
 static void sendHeartbeat(const Membership &Fleet, PeerLink &To,
                           const ConfigView &Config, TimePoint Now,
                           Effects &Out) {
@@ -180,7 +185,7 @@
   Beat.Fresh = Fleet.Joining.Fresh;
   Beat.Service = Heard && Now - *Heard <= Fleet.Times.CutOff;
   Beat.Load = Fleet.Load;
-  leaveOutDigests(Beat, To);
+  omitKnownDigests(Beat, To);
   Out.push_back(SendMessage{To.Link, Beat});
 }
 
@@ -196,7 +201,7 @@
     Peer.VersionSince = Now;
   Peer.Version = Beat.Version;
   const Digest Weights =
-      Beat.SameDigests ? Peer.BeatWeights : Beat.Load.Weights;
+      Beat.SameDigests ? Peer.HeartbeatWeights : Beat.Load.Weights;
   if (!Beat.SameDigests)
     Peer.ConfigDigest = Beat.ConfigDigest;
   Peer.Leaving = Beat.Leaving;
@@ -204,7 +209,7 @@
   Peer.Service = Beat.Service;
   Peer.Load = Beat.Load;
   Peer.Load.Weights = Weights;
-  Peer.BeatWeights = Weights;
+  Peer.HeartbeatWeights = Weights;
   Peer.LoadAt = Now;
   Peer.SentSince = 0;
 }
@@ -216,20 +221,21 @@
     sendHeartbeat(Fleet, Peer, Config, Now, Out);
 }
 
-void sendHeartbeatsNear(Membership &Fleet, const ConfigView &Config,
-                        TimePoint Now, Effects &Out) {
+void sendHeartbeatsInDomain(Membership &Fleet, const ConfigView &Config,
+                            TimePoint Now, Effects &Out) {
   for (auto &[Link, Peer] : Fleet.Links)
     if (Peer.Peer.Domain == Fleet.Self.Domain)
       sendHeartbeat(Fleet, Peer, Config, Now, Out);
 }
 
 bool mayBeatEarly(const Membership &Fleet, TimePoint Now) {
-  const Millis Apart(static_cast<int64_t>(Fleet.Links.size() * HeartbeatBytes *
-                                          1000 / EarlyBytesPerSecond));
-  return Now - Fleet.LastHeartbeat >= Apart;
+  const Millis MinInterval(
+      static_cast<int64_t>(Fleet.Links.size() * HeartbeatBytes * 1000 /
+                           EarlyHeartbeatBytesPerSecond));
+  return Now - Fleet.LastHeartbeat >= MinInterval;
 }
 
-std::vector<LinkId> membershipTick(Membership &Fleet, const ConfigView &Config,
+std::vector<LinkId> tickMembership(Membership &Fleet, const ConfigView &Config,
                                    TimePoint Now, Effects &Out) {
   Fleet.LastTick = Now;
   std::vector<LinkId> Silent;
@@ -238,11 +244,11 @@
       Silent.push_back(Link);
   for (const LinkId Link : Silent) {
     noteLinkLost(Fleet, Link, Now, Out);
-    noteSilent(Fleet, Link);
-    forgetLink(Fleet, Link, Now);
+    recordSilentPeer(Fleet, Link);
+    removeLink(Fleet, Link, Now);
     Out.push_back(CloseLink{Link});
   }
-  openWanted(Fleet, Now, Out);
+  openWantedLinks(Fleet, Now, Out);
   if (Now - Fleet.LastHeartbeat >= Fleet.Times.Heartbeat)
     sendHeartbeats(Fleet, Config, Now, Out);
   return Silent;
--- a/packages/core/src/membership/membership_func.h
+++ b/packages/core/src/membership/membership_func.h
@@ -1,4 +1,4 @@
-/** @file membership_func.h Keeping links and noticing that they are lost. */
+/** @file membership_func.h Keeps links to peers and detects lost ones. */
 
 #ifndef JACINTHPOND_CORE_MEMBERSHIP_FUNC_H
 #define JACINTHPOND_CORE_MEMBERSHIP_FUNC_H
@@ -11,35 +11,34 @@
 
 namespace jacinthpond {
 
-/** A peer as published. */
+/** Published name and address of a peer. */
 struct PeerAddress {
   HostName Name; ///< Published name.
   Address At;    ///< Where it listens.
 };
 
 /**
- * Sets which peers to keep links to; links to others are dropped.
+ * Sets which peers to keep links to, and closes the links to all others.
  * @param Fleet State to change.
  * @param Peers The wanted peers.
  * @param Out Effects are appended.
- * @return Links that were dropped.
+ * @return Links that were closed.
  */
 std::vector<LinkId> wantPeers(Membership &Fleet,
                               const std::vector<PeerAddress> &Peers,
                               Effects &Out);
 
 /**
- * Notes for the log that a peer named itself on a link.
- * @param Peer What it said.
+ * Logs that a link is ready, after the peer's hello has arrived.
+ * @param Peer The peer's hello.
  * @param Out Effects are appended.
  */
-void noteLinkReady(const Hello &Peer, Effects &Out);
+void logLinkReady(const Hello &Peer, Effects &Out);
 
 /**
- * Notes for the log that a link to a known peer is gone; to be called before it
- * is forgotten.
+ * Logs that a ready link is lost; to be called before the link is removed.
  * @param Fleet The state.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -47,74 +46,76 @@
                   Effects &Out);
 
 /**
- * A link works: says hello.
+ * Handles a link that was opened or accepted: sends the own hello over it.
  * @param Fleet State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
 void linkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out);
 
 /**
- * A link is gone.
+ * Handles a link that was closed: removes it and schedules the next attempt to
+ * connect when its peer is wanted.
  * @param Fleet State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
  */
 void linkClosed(Membership &Fleet, LinkId Link, TimePoint Now);
 
 /**
- * A peer said hello.
+ * Handles a peer's hello: the link becomes ready.
  * @param Fleet State to change.
- * @param Link Over which link.
- * @param Peer What it said.
+ * @param Link Link that it arrived on.
+ * @param Peer The hello.
  */
-void helloHeard(Membership &Fleet, LinkId Link, const Hello &Peer);
+void handleHello(Membership &Fleet, LinkId Link, const Hello &Peer);
 
 /**
- * Any message arrived.
+ * Records that a message of any kind arrived on a link.
  * @param Fleet State to change.
- * @param Link Over which link.
+ * @param Link Link that it arrived on.
  * @param Now Current time.
- * @return False when the link is not known: the message is to be dropped.
+ * @return False when the link is unknown, and the message is to be dropped.
  */
 bool linkHeard(Membership &Fleet, LinkId Link, TimePoint Now);
 
 /**
- * A heartbeat arrived.
+ * Handles a heartbeat: updates what is known of the peer.
  * @param Fleet State to change.
- * @param Link Over which link.
- * @param Beat What it said.
+ * @param Link Link that it arrived on.
+ * @param Beat The heartbeat.
  * @param Now Current time.
  */
 void heartbeatHeard(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
                     TimePoint Now);
 
 /**
- * Looks at the time: opens wanted links, sends heartbeats, drops silent links.
+ * Does the periodic work: closes silent links, opens links to wanted peers and
+ * sends heartbeats that are due.
  * @param Fleet State to change.
- * @param Config What heartbeats say is in force.
+ * @param Config Configuration that heartbeats report as in force.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return Links that were dropped as silent.
+ * @return Links that were closed as silent.
  */
-std::vector<LinkId> membershipTick(Membership &Fleet, const ConfigView &Config,
+std::vector<LinkId> tickMembership(Membership &Fleet, const ConfigView &Config,
                                    TimePoint Now, Effects &Out);
 
 /**
- * Sends a heartbeat at once over each link to a peer of the own domain.
+ * Sends a heartbeat at once to each peer in the own failure domain.
  * @param Fleet State to change.
- * @param Config What heartbeats say is in force.
+ * @param Config Configuration that heartbeats report as in force.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void sendHeartbeatsNear(Membership &Fleet, const ConfigView &Config,
-                        TimePoint Now, Effects &Out);
+void sendHeartbeatsInDomain(Membership &Fleet, const ConfigView &Config,
+                            TimePoint Now, Effects &Out);
 
 /**
- * Sends a heartbeat over every ready link at once.
+ * Sends a heartbeat at once over every open link.
  * @param Fleet State to change.
- * @param Config What heartbeats say is in force.
+ * @param Config Configuration that heartbeats report as in force.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -122,8 +123,9 @@
                     Effects &Out);
 
 /**
- * Says whether a heartbeat may go out before its time, to tell of a change in
- * load. The more links there are, the rarer, so that the bytes stay bounded.
+ * Says whether a heartbeat may be sent ahead of schedule to report a change in
+ * load. The minimum interval grows with the number of links, so that the
+ * traffic stays bounded.
  * @param Fleet The state.
  * @param Now Current time.
  * @return False when the last one is too recent.
--- a/packages/core/src/membership/membership_type.h
+++ b/packages/core/src/membership/membership_type.h
@@ -1,4 +1,4 @@
-/** @file membership_type.h Links to peers and what they say of themselves. */
+/** @file membership_type.h Links to peers, and what the peers report. */
 
 #ifndef JACINTHPOND_CORE_MEMBERSHIP_TYPE_H
 #define JACINTHPOND_CORE_MEMBERSHIP_TYPE_H
@@ -15,98 +15,98 @@
 
 namespace jacinthpond {
 
-/** Periods of membership; from the settings. */
+/** Periods and timeouts of membership; from the settings. */
 struct MembershipTimes {
   Millis Heartbeat{500}; ///< Period of heartbeats.
   Millis Silence{2500};  ///< Silence after which a link is lost.
-  Millis Reconnect{300}; ///< Shortest wait before opening again.
-  Millis PauseGap{2000}; ///< Gap that shows that this process was paused.
-  Millis CutOff{3000};   ///< Time without contact before refusing work.
+  Millis Reconnect{300}; ///< Shortest wait before reconnecting.
+  Millis PauseGap{2000}; ///< Gap between ticks that counts as a pause.
+  Millis CutOff{3000};   ///< Time without contact until work is refused.
   Millis JoinWait{1500}; ///< Longest wait of a new process for its peers.
 };
 
-/** How far a link has come. */
+/** State of a link. */
 enum class LinkState : uint8_t {
-  Opening, ///< Asked for; nothing heard yet.
-  Greeted, ///< Open here; the peer's hello is missing.
-  Ready    ///< The peer's hello has arrived.
+  Opening,   ///< Requested, not open yet.
+  HelloSent, ///< Open; the own hello was sent, the peer's is missing.
+  Ready      ///< The peer's hello has arrived.
 };
 
 /** One link and the peer at its other end. */
 struct PeerLink {
-  LinkId Link;                          ///< Its number.
-  LinkState State = LinkState::Opening; ///< How far it has come.
-  Hello Peer;                           ///< Valid when Ready.
-  TimePoint LastHeard;                  ///< Last message, or when opened.
-  uint64_t SentHeartbeats = 0;          ///< Sequence of the last one sent.
-  Digest SentConfigDigest;              ///< In the last heartbeat sent.
-  Digest SentWeights;                   ///< In the last heartbeat sent.
-  uint64_t HeardHeartbeat = 0;          ///< Sequence of the last one heard.
-  ConfigVersion Version;                ///< Last told.
-  Digest ConfigDigest;                  ///< Last told.
-  TimePoint VersionSince;               ///< When Version was first told.
-  bool Leaving = false;                 ///< Last told.
-  bool Fresh = false;                   ///< Last told.
-  bool Service = false;                 ///< Last told.
-  bool PushRefused = false;             ///< Its document was invalid here.
-  bool Answered = false;                ///< It answered a pull of this join.
-  bool AskedToKnow = false;             ///< Asked to answer that we leave.
-  bool AnsweredFresh = false;           ///< It did so with a fresh view.
-  std::optional<TimePoint> ProbedAt;    ///< When it was asked last.
-  WorkerLoad Load;                      ///< Last told.
-  Digest BeatWeights;                   ///< Weights in the last heartbeat.
-  TimePoint LoadAt;                     ///< When Load was told.
-  uint32_t SentSince = 0;               ///< Attempts sent there since then.
-  TimePoint AvoidUntil;                 ///< It refused work for lack of room.
+  LinkId Link;                          ///< Identifier of the link.
+  LinkState State = LinkState::Opening; ///< State of the link.
+  Hello Peer;                           ///< The peer's hello; valid when Ready.
+  TimePoint LastHeard; ///< When a message arrived last, or it was opened.
+  uint64_t SentHeartbeats = 0; ///< Sequence of the last one sent.
+  Digest SentConfigDigest;     ///< In the last heartbeat sent.
+  Digest SentWeights;          ///< In the last heartbeat sent.
+  uint64_t HeardHeartbeat = 0; ///< Sequence of the last one received.
+  ConfigVersion Version;       ///< In force at the peer, as last reported.
+  Digest ConfigDigest;         ///< Digest of that document.
+  TimePoint VersionSince;      ///< When Version was first reported.
+  bool Leaving = false;        ///< The peer last reported that it is leaving.
+  bool Fresh = false;          ///< The peer last reported a fresh view.
+  bool Service = false;        ///< The configuration service answers the peer.
+  bool PushRefused = false;    ///< The peer's document was invalid here.
+  bool Answered = false; ///< It has answered a probe since the last reset.
+  bool LeavingAckRequested = false;  ///< Asked to acknowledge our leaving.
+  bool AnsweredFresh = false;        ///< It answered a probe with a fresh view.
+  std::optional<TimePoint> ProbedAt; ///< When it was probed last.
+  WorkerLoad Load;                   ///< Load as last reported.
+  Digest HeartbeatWeights;           ///< Weights as of the last heartbeat.
+  TimePoint LoadAt;                  ///< When Load was reported.
+  uint32_t SentSince = 0; ///< Attempts sent to the peer since LoadAt.
+  TimePoint AvoidUntil;   ///< It lacked capacity and gets no work until then.
 };
 
 /** A peer that this process keeps a link to. */
 struct WantedPeer {
   HostName Name;              ///< Published name.
   Address At;                 ///< Where it listens.
-  std::optional<LinkId> Link; ///< The link that is open or opening.
-  TimePoint NextTry;          ///< Earliest time of the next try.
-  uint32_t Failures = 0;      ///< Tries that failed in a row.
+  std::optional<LinkId> Link; ///< Its link, open or opening; empty: none.
+  TimePoint NextTry;          ///< Earliest time of the next attempt to connect.
+  uint32_t Failures = 0;      ///< Consecutive failed attempts to connect.
 };
 
-/** The one pull of a whole document that may be under way. */
+/** The pull of a document; at most one is pending at a time. */
 struct PendingPull {
-  std::optional<LinkId> Link; ///< Where it was sent.
-  TimePoint At;               ///< When.
-  uint64_t Sent = 0;          ///< Pulls so far; varies the choice of a peer.
-  std::optional<TimePoint> BehindSince; ///< Since when a peer has a newer one.
+  std::optional<LinkId> Link; ///< Link it was sent on; empty: none is pending.
+  TimePoint At;               ///< When it was sent.
+  uint64_t Sent = 0;          ///< Pulls so far; varies which peer is chosen.
+  std::optional<TimePoint> BehindSince; ///< Since when some peer is ahead.
 };
 
-/** Which run of a host leaves; run 0 means the host, whatever runs. */
+/** A host that is leaving; incarnation 0 stands for any. */
 struct Departure {
-  HostName Host;   ///< Who.
-  Incarnation Run; ///< Which run.
+  HostName Host;   ///< The leaving host.
+  Incarnation Run; ///< Its incarnation, or 0.
   auto operator<=>(const Departure &) const = default;
 };
 
-/** An entry that is known from its own word or another process's. */
+/** An entry that is known from its own hello or from a peer. */
 struct KnownEntry {
-  EntryHost Host;     ///< What it said.
-  TimePoint LastSeen; ///< Last link or word of it.
+  EntryHost Host;     ///< Its name, domain and addresses.
+  TimePoint LastSeen; ///< When it was last linked or reported.
 };
 
-/** All links of a process. */
+/** Membership state of a process: its links and what it knows of the fleet. */
 struct Membership {
-  Hello Self;                            ///< What this process is.
-  MembershipTimes Times;                 ///< Periods.
+  Hello Self;                            ///< The hello that this process sends.
+  MembershipTimes Times;                 ///< Periods and timeouts.
   std::map<LinkId, PeerLink> Links;      ///< Open and opening links.
   std::map<HostName, WantedPeer> Wanted; ///< Peers to keep links to.
-  uint64_t NextLink = 1;                 ///< Number of the next link.
+  uint64_t NextLink = 1;                 ///< Identifier of the next link.
   TimePoint LastHeartbeat;               ///< When heartbeats were sent last.
-  TimePoint LastTick;                    ///< When time was looked at last.
-  bool Leaving = false;                  ///< This process takes no new work.
-  std::map<Departure, TimePoint> Departures; ///< When last confirmed.
-  Join Joining;                              ///< Whether the view is trusted.
-  PendingPull Pull;                          ///< Document under way.
-  Digest AlarmedDigest;                      ///< Conflict that was logged last.
-  WorkerLoad Load;                           ///< Own load; agents only.
-  std::map<HostName, KnownEntry> Roster; ///< Entries that told of themselves.
-  std::set<HostName> Silent; ///< Peers whose last link ended in silence.
+  TimePoint LastTick;                    ///< Time of the last tick.
+  bool Leaving = false; ///< This process is leaving and takes no new work.
+  std::map<Departure, TimePoint> Departures; ///< Times of the last report.
+  Join Joining;                              ///< Whether the view is fresh.
+  PendingPull Pull;                          ///< Pending pull of a document.
+  Digest ReportedConflict; ///< Digest in the last logged conflict.
+  WorkerLoad Load;         ///< Load of this process; agents only.
+  std::map<HostName, KnownEntry> Roster; ///< Entries known from peers.
+  std::set<HostName> Silent; ///< Peers whose last link was lost by silence.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/membership/pause.cpp
+++ b/packages/core/src/membership/pause.cpp
@@ -1,4 +1,4 @@
-/** @file pause.cpp Noticing that this process did not run for a while. */
+/** @file pause.cpp Detects that this process did not run for a while. */
 
 #include "membership/pause_func.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Gives an incarnation that no other start or wake-up has. */
+/** Gives an incarnation that differs from that of any other start or resume. */
 Incarnation nextIncarnation(const Membership &Fleet, TimePoint Now) {
   const std::string Old = std::to_string(Fleet.Self.Run.Value);
   const std::string At = std::to_string(Now.time_since_epoch().count());
@@ -22,10 +22,10 @@
 
 std::vector<LinkId> dropLinksAfterPause(Membership &Fleet, TimePoint Now,
                                         Effects &Out) {
-  // A stopped process wakes up with an old view and with sockets full of old
-  // requests: it would send work into a domain that was taken out meanwhile,
-  // and run requests that were given up. What its peers said before the pause
-  // is worth nothing, so nothing of it is read.
+  // A process that resumes has an outdated view, and its sockets are full of
+  // old messages: it would send work to a domain that was taken out meanwhile,
+  // and run requests that were given up. What its peers sent before the pause
+  // is out of date, so the links are closed without reading it.
   if (Now - Fleet.LastTick <= Fleet.Times.PauseGap)
     return {};
   Out.push_back(
--- a/packages/core/src/membership/pause_func.h
+++ b/packages/core/src/membership/pause_func.h
@@ -1,4 +1,4 @@
-/** @file pause_func.h Noticing that this process did not run for a while. */
+/** @file pause_func.h Detects that this process did not run for a while. */
 
 #ifndef JACINTHPOND_CORE_PAUSE_FUNC_H
 #define JACINTHPOND_CORE_PAUSE_FUNC_H
@@ -11,12 +11,13 @@
 namespace jacinthpond {
 
 /**
- * Looks for a gap in the own clock. After one, every link is dropped unread,
- * the incarnation changes and the view is not fresh any more.
+ * Detects a pause of this process by a gap since the last tick. After a pause,
+ * closes every link without reading what waits on it, changes the incarnation
+ * and restarts the join.
  * @param Fleet State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return Links that were dropped; what was open on them is lost.
+ * @return Links that were closed; what was pending on them is lost.
  */
 std::vector<LinkId> dropLinksAfterPause(Membership &Fleet, TimePoint Now,
                                         Effects &Out);
--- a/packages/core/src/membership/roster_func.h
+++ b/packages/core/src/membership/roster_func.h
@@ -1,8 +1,8 @@
-/** @file roster_func.h Entries that find each other without a published list.
+/** @file roster_func.h Lets entries find each other without a published list.
  *
- * Each process opens links to a few seeds. Hello messages name the sender's
- * addresses, and every process tells its peers of each entry that is new to it,
- * agents too, so that a new entry is found even while all seeds are down.
+ * Each process opens links to a few seeds. Hello messages carry the sender's
+ * addresses, and every process, agents included, tells its peers of each entry
+ * that is new to it. So a new entry is found even while all seeds are down.
  */
 
 #ifndef JACINTHPOND_CORE_ROSTER_FUNC_H
@@ -17,50 +17,53 @@
 namespace jacinthpond {
 
 /**
- * Gives the peers that the settings name, to ask for as long as no view is
- * trusted.
+ * Gives the seeds from the settings: the peers to contact until the view is
+ * fresh.
  * @param Config The settings.
  * @return The peers, without this process itself.
  */
 std::vector<PeerAddress> seedPeers(const Settings &Config);
 
 /**
- * A peer named itself: it is kept, and it is told of all known entries.
+ * Handles a peer's hello: tells the peer of all known entries and, when the
+ * peer is an entry that is new or has moved, adds it and announces it to all
+ * others.
  * @param Fleet State to change.
- * @param Link Its link.
- * @param Peer What it said.
+ * @param Link Link to the peer.
+ * @param Peer The hello.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return True when it is an entry that was not known, or that has moved.
+ * @return True when the peer is an entry that is new or has moved.
  */
-bool rosterHello(Membership &Fleet, LinkId Link, const Hello &Peer,
-                 TimePoint Now, Effects &Out);
+bool exchangeEntries(Membership &Fleet, LinkId Link, const Hello &Peer,
+                     TimePoint Now, Effects &Out);
 
 /**
- * A peer told of an entry; one that is new is told on.
+ * Handles a peer's report of an entry: adds it and announces it to all peers
+ * when it is new.
  * @param Fleet State to change.
- * @param Seen What it told.
+ * @param Seen The reported entry.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return True when it was not known.
+ * @return True when the entry was unknown.
  */
-bool entrySeen(Membership &Fleet, const EntrySeen &Seen, TimePoint Now,
-               Effects &Out);
+bool handleEntrySeen(Membership &Fleet, const EntrySeen &Seen, TimePoint Now,
+                     Effects &Out);
 
 /**
- * Forgets entries that nobody has had a link to for long.
+ * Removes entries that this process has had no link to for a minute.
  * @param Fleet State to change.
  * @param Now Current time.
- * @return True when one was forgotten.
+ * @return True when an entry was removed.
  */
-bool rosterTick(Membership &Fleet, TimePoint Now);
+bool removeStaleEntries(Membership &Fleet, TimePoint Now);
 
 /**
- * Gives all entries: the published ones, or where none are published those
- * that told of themselves, this process included.
+ * Gives all entries: the published ones or, when none are published, those in
+ * the roster and this process if it is an entry.
  * @param Doc Document in force; may be null.
  * @param Fleet The state.
- * @return The entries in order of their names.
+ * @return The entries; those of the roster are sorted by name.
  */
 std::vector<EntryHost> knownEntries(const Document *Doc,
                                     const Membership &Fleet);
--- a/tests/unit/config_spread_test.cpp
+++ b/tests/unit/config_spread_test.cpp
@@ -1,4 +1,4 @@
-/** @file config_spread_test.cpp Versions from service and peers; joining. */
+/** @file config_spread_test.cpp Tests how documents spread, and joining. */
 // Labels: promise-9
 
 #include "configuration/reader_rank_func.h"
@@ -12,9 +12,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(ConfigSpread, OneEntry)
 
-// A caller's request for a domain that was taken out is served by a new entry.
-// The service is stale, the new entry reads version 3 from it while its peers
-// have 4. Cause: it served before it had asked them.
+// A new entry that reads version 3 from a stale service while its peers have
+// version 4 must not serve before it has asked them: it would send requests to
+// a domain that was taken out.
 BOOST_AUTO_TEST_CASE(ANewEntryServesNoOlderVersionThanItsPeers) {
   read(document(3));
   pass(Millis{100});
@@ -37,7 +37,7 @@
   BOOST_TEST(fresh());
 }
 
-BOOST_AUTO_TEST_CASE(NoVersionIsEverTakenBack) {
+BOOST_AUTO_TEST_CASE(TheVersionInForceNeverGoesBack) {
   read(document(5));
   joinAll(5);
   read(document(4));
@@ -52,8 +52,8 @@
   BOOST_TEST(version() == 6U);
 }
 
-// Every entry's link is filled with copies of a document of 1 MB whenever a
-// version is published. Cause: it was pulled from each peer that told it.
+// A document of up to 1 MB must not be pulled from each peer that reports it:
+// the copies would fill every entry's links whenever a version is published.
 BOOST_AUTO_TEST_CASE(ADocumentIsPulledFromOnePeerAtATime) {
   read(document(5));
   joinAll(5);
@@ -67,13 +67,13 @@
   BOOST_TEST(pullsSent() == 1U);
   pass(Millis{900});
   BOOST_TEST(pullsSent() == 1U);
-  pass(Millis{200}); // The peer is silent: another one is asked.
+  pass(Millis{200}); // The peer is silent: pulls from another one.
   BOOST_TEST(pullsSent() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(ADocumentIsPulledFromTheOwnDomainFirst) {
-  // Documents were most of the bytes between regions: each process pulled from
-  // whoever told it first, and that was as often a peer of another region.
+  // When each process pulls from the first peer that reports a version, often
+  // one of another region, documents are most of the traffic between regions.
   read(document(5));
   joinAll(5);
   BOOST_REQUIRE(fresh());
@@ -91,7 +91,7 @@
   BOOST_TEST((State.Fleet.Pull.Link == linkOf("c")));
 }
 
-BOOST_AUTO_TEST_CASE(WithoutANearPeerADocumentComesFromFar) {
+BOOST_AUTO_TEST_CASE(ADocumentIsPulledFromAnotherDomainAfterAWait) {
   read(document(5));
   joinAll(5);
   State.Fleet.Links.at(linkOf("b")).Peer.Domain.Value = "far";
@@ -105,9 +105,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(ASilentReaderIsReplacedByTheNextRank) {
-  // The service was away. Those that read were still waiting after failures
-  // when it was back; one that had read in their stead stopped as soon as it
-  // was answered, and for seconds nobody read at all.
+  // After an outage of the service its readers may still be backing off. An
+  // entry that reads in their place must go on until they are answered; if it
+  // stopped at its own first answer, nobody would read for seconds.
   read(document(5));
   joinAll(5);
   BOOST_TEST(isReader(State.View, State.Fleet));
@@ -121,18 +121,18 @@
   const auto Self = std::ranges::find(Order, HostName{"a"});
   const size_t Rank = static_cast<size_t>(Self - Order.begin());
   BOOST_TEST(isReader(State.View, State.Fleet) == (Rank < ReadersPerDomain));
-  pass(Millis{2600}); // All peers are silent, so their links are closed.
+  pass(Millis{2600}); // All peers are silent: their links are closed.
   BOOST_TEST(isReader(State.View, State.Fleet));
 }
 
-// Calls on the service rise to thousands a second when it has gone back to an
-// older version: it answers every watch at once.
-BOOST_AUTO_TEST_CASE(AUselessAnswerIsFollowedByALongerWait) {
+// A service that has gone back to an older version answers every read at once.
+// Without back-off it would get thousands of reads per second.
+BOOST_AUTO_TEST_CASE(ReadsBackOffAfterUnusableAnswers) {
   read(document(5));
   joinAll(5);
   Millis Before{-1};
   for (int n = 0; n < 4; ++n) {
-    State.Fleet.Joining.Fresh = false; // Makes it a reader whatever its rank.
+    State.Fleet.Joining.Fresh = false; // Makes it a reader of any rank.
     const Millis Delay = nextRead(State.View, State.Fleet, 1).Delay;
     BOOST_TEST(Delay.count() > Before.count());
     Before = Delay;
--- a/tests/unit/document_test.cpp
+++ b/tests/unit/document_test.cpp
@@ -1,4 +1,4 @@
-/** @file document_test.cpp Validation of the published document. */
+/** @file document_test.cpp Tests the validation of documents and settings. */
 
 #include "configuration/document_func.h"
 #include "settings/settings_func.h"
--- a/tests/unit/link_subset_test.cpp
+++ b/tests/unit/link_subset_test.cpp
@@ -1,4 +1,5 @@
-/** @file link_subset_test.cpp Links of an entry in small and large fleets. */
+/** @file link_subset_test.cpp Tests which links an entry keeps in small and
+ * large fleets. */
 // Labels: promise-9
 
 #include "membership/link_subset_func.h"
@@ -13,7 +14,8 @@
 
 namespace {
 
-Document fleetOf(size_t Entries, size_t Workers, size_t Domains) {
+/** Makes a document with hosts spread evenly over the domains. */
+Document makeDocument(size_t Entries, size_t Workers, size_t Domains) {
   Document Doc;
   for (size_t n = 0; n < Entries; ++n)
     Doc.Entries.push_back({HostName{"e" + std::to_string(n)},
@@ -29,7 +31,8 @@
   return Doc;
 }
 
-Hello entry(const Document &Doc, size_t n) {
+/** Makes the hello of the n-th entry. */
+Hello entryHello(const Document &Doc, size_t n) {
   Hello Self;
   Self.Name = Doc.Entries[n].Name;
   Self.Domain = Doc.Entries[n].Domain;
@@ -38,19 +41,20 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(ASmallFleetIsLinkedInFull) {
-  const Document Doc = fleetOf(9, 19, 3);
-  BOOST_TEST(linkSubset(Doc, Doc.Entries, entry(Doc, 0)).size() == 8U + 19U);
+BOOST_AUTO_TEST_CASE(ASmallFleetIsAFullMesh) {
+  const Document Doc = makeDocument(9, 19, 3);
+  BOOST_TEST(linkSubset(Doc, Doc.Entries, entryHello(Doc, 0)).size() ==
+             8U + 19U);
 }
 
-// At the size of the plan every entry reaches every other over the links, and
-// no worker is without an entry.
+// At the largest planned size each entry reaches all others over the links, and
+// each worker is linked to an entry.
 BOOST_AUTO_TEST_CASE(ALargeFleetIsLinkedInPartAndStaysConnected) {
-  const Document Doc = fleetOf(390, 1800, 10);
+  const Document Doc = makeDocument(390, 1800, 10);
   std::map<std::string, std::set<std::string>> Links;
   std::map<std::string, size_t> LinksOfWorker;
   for (size_t n = 0; n < Doc.Entries.size(); ++n) {
-    const auto Peers = linkSubset(Doc, Doc.Entries, entry(Doc, n));
+    const auto Peers = linkSubset(Doc, Doc.Entries, entryHello(Doc, n));
     BOOST_TEST(Peers.size() <= WorkersPerModel + 4 + 9);
     const std::string Self = Doc.Entries[n].Name.Value;
     for (const PeerAddress &Peer : Peers) {
--- a/tests/unit/mesh.h
+++ b/tests/unit/mesh.h
@@ -1,7 +1,7 @@
-/** @file mesh.h Entries and agents in one thread, over wires that fail.
+/** @file mesh.h Simulates a fleet of entries and agents in one thread.
  *
- * It runs the decisions of core only: messages travel over queues that a test
- * holds, drops, repeats or cuts, and time moves when the test says so.
+ * Only the logic of core runs. Messages travel through queues that a test can
+ * hold, drop, repeat or cut, and time advances when the test says so.
  */
 
 #ifndef JACINTHPOND_TESTS_UNIT_MESH_H
@@ -25,25 +25,25 @@
 
 using Json = nlohmann::json;
 
-/** A connection between two processes. */
+/** A simulated connection between two processes. */
 struct Wire {
-  std::string From, To;  ///< Who opened it, and to whom.
-  LinkId FromEnd, ToEnd; ///< Its number at either end.
-  bool Open = true;      ///< Carries messages.
+  std::string From, To;  ///< Process that opened it, and its peer.
+  LinkId FromEnd, ToEnd; ///< Link identifier at either end.
+  bool Open = true;      ///< False after the connection was broken.
   bool Held = false;     ///< Messages wait; neither end notices.
-  std::deque<std::pair<bool, Message>> Queue; ///< True: towards To.
+  std::deque<std::pair<bool, Message>> Queue; ///< Messages; true: towards To.
 };
 
-/** Final answer to a caller. */
+/** What a caller got in the end. */
 struct Final {
-  std::string Text;                  ///< All parts.
-  bool Whole = false;                ///< Ended as whole.
-  ErrorKind Kind = ErrorKind::Count; ///< Else: why not.
-  std::string Token;                 ///< Fresh home token; may be empty.
-  Ran Executed = Ran::Unknown;       ///< Else: whether it ran.
+  std::string Text;                  ///< All parts of the answer, joined.
+  bool Whole = false;                ///< The answer is complete.
+  ErrorKind Kind = ErrorKind::Count; ///< Error of an incomplete answer.
+  std::string Token;                 ///< Home token in the error; may be empty.
+  Ran Executed = Ran::Unknown;       ///< Whether the request ran.
 };
 
-/** All processes and wires of one test. */
+/** A simulated fleet: its processes, their connections and the clock. */
 struct Mesh {
   TimePoint Now{std::chrono::hours(1)};
   std::map<std::string, EntryState> Entries;
@@ -51,11 +51,13 @@
   std::deque<Wire> Wires;
   std::set<std::string> Dead, Paused;
   std::vector<std::pair<std::string, ServiceCall>>
-      Records;                                             ///< Service records.
-  std::vector<std::pair<std::string, EngineRequest>> Runs; ///< Engine records.
+      Records; ///< Calls to services, by agent.
+  std::vector<std::pair<std::string, EngineRequest>>
+      Runs; ///< Requests to engines, by agent.
   std::map<uint64_t, std::string> Texts;
   std::map<uint64_t, Final> Finals;
-  std::set<std::string> SlowServices; ///< Their calls stay unanswered.
+  std::set<std::string> SlowServices; ///< Their calls get no answer.
+  /** Called before each delivery; true: towards Wire::To. */
   std::function<void(Wire &, bool, const Message &)> OnDelivery;
   uint64_t NextRun = 1, NextEnd = FirstAcceptedLink, NextCall = 1;
   Json Doc = {{"version", 1},
@@ -76,15 +78,16 @@
               {"workers", Json::array()},
               {"entries", Json::array()}};
 
-  std::map<std::string, std::string> NameAt; ///< Process behind an address.
+  std::map<std::string, std::string> NameAt; ///< Process at each address.
 
-  /** Gives a process an address. */
+  /** Allocates another address for a process. */
   std::string addressOf(const std::string &Name) {
     const std::string At = "127.0.0.1:" + std::to_string(10000 + NameAt.size());
     NameAt[At] = Name;
     return At;
   }
 
+  /** Gives the settings that all processes share but for their names. */
   static Settings settingsOf(const std::string &Name) {
     Settings Config;
     Config.Name = Name;
@@ -100,7 +103,7 @@
     return Config;
   }
 
-  /** Starts or restarts an agent. */
+  /** Starts or restarts an agent of a model or of a plain service. */
   void startAgent(const std::string &Name, bool Model) {
     Settings Config = settingsOf(Name);
     (Model ? Config.EngineUrl : Config.ServiceUrl) = "http://back-end";
@@ -112,7 +115,8 @@
     perform(Name, Out);
   }
 
-  /** Starts entries e0.. and agents m0.. and s0.., all linked. */
+  /** Starts entries e0.., model agents m0.. and service agents s0.., publishes
+   * the document and lets them link up and load the weights. */
   Mesh(size_t EntryCount, size_t ModelCount, size_t ServiceCount) {
     const auto Row = [this](const std::string &Name) {
       return Json{{"name", Name}, {"domain", "d"}, {"agent", addressOf(Name)}};
@@ -142,7 +146,7 @@
     pass(Millis(1000));
   }
 
-  /** Makes an engine report the wanted weights as loaded. */
+  /** Makes an agent's engine report that the wanted weights are loaded. */
   void warm(const std::string &Name) {
     AgentState &Agent = Agents[Name];
     EngineState State;
@@ -154,7 +158,7 @@
     perform(Name, Out);
   }
 
-  /** Gives the document to some entries, or to all. */
+  /** Lets one entry, or all, read the document from the service. */
   void publish(const std::string &Only = "") {
     for (auto &[Name, Entry] : Entries) {
       if (!Only.empty() && Only != Name)
@@ -166,38 +170,42 @@
     }
   }
 
-  /** Sends a request to an entry. */
+  /** Sends a request to an entry; gives the number of the call. */
   uint64_t ask(const std::string &Entry, const std::string &Class,
                const std::string &Key = "", const std::string &Token = "",
                const std::string &Body = "{}") {
-    CallRequest Asked;
-    Asked.Call.Value = NextCall++;
-    Asked.Class.Value = Class;
-    Asked.Tenant.Value = "huts";
-    Asked.Key.Value = Key;
-    Asked.Token = Token;
-    Asked.Body = Body;
+    CallRequest CallerRequest;
+    CallerRequest.Call.Value = NextCall++;
+    CallerRequest.Class.Value = Class;
+    CallerRequest.Tenant.Value = "huts";
+    CallerRequest.Key.Value = Key;
+    CallerRequest.Token = Token;
+    CallerRequest.Body = Body;
     Effects Out;
-    entryCall(Entries.at(Entry), Asked, Now, Out);
+    entryCall(Entries.at(Entry), CallerRequest, Now, Out);
     perform(Entry, Out);
     pump();
-    return Asked.Call.Value;
+    return CallerRequest.Call.Value;
   }
 
-  /** Lets time pass in ticks. */
+  /** Advances time tick by tick, and delivers messages after each. */
   void pass(Millis Length) {
     const TimePoint End = Now + Length;
     while (Now < End) {
       Now += Millis(50);
       for (auto &Row : Entries)
-        tick(Row.first, [&](Effects &e) { entryTick(Row.second, Now, e); });
+        runUnlessStopped(Row.first,
+                         [&](Effects &e) { entryTick(Row.second, Now, e); });
       for (auto &Row : Agents)
-        tick(Row.first, [&](Effects &e) { agentTick(Row.second, Now, e); });
+        runUnlessStopped(Row.first,
+                         [&](Effects &e) { agentTick(Row.second, Now, e); });
       pump();
     }
   }
 
-  template <typename Step> void tick(const std::string &Name, Step Body) {
+  /** Runs a step of a process and its effects, unless dead or paused. */
+  template <typename Step>
+  void runUnlessStopped(const std::string &Name, Step Body) {
     if (Dead.contains(Name) || Paused.contains(Name))
       return;
     Effects Out;
@@ -205,7 +213,7 @@
     perform(Name, Out);
   }
 
-  /** Ends a process: its wires break at once. */
+  /** Kills a process: its connections break at once. */
   void kill(const std::string &Name) {
     Dead.insert(Name);
     for (Wire &One : Wires)
@@ -213,26 +221,27 @@
         cut(One);
   }
 
-  /** Breaks a wire; both ends notice, what was under way is lost. */
+  /** Breaks a connection: both ends notice, queued messages are lost. */
   void cut(Wire &One) {
     One.Open = false;
     One.Queue.clear();
-    closed(One.From, One.FromEnd);
-    closed(One.To, One.ToEnd);
+    notifyClosed(One.From, One.FromEnd);
+    notifyClosed(One.To, One.ToEnd);
   }
 
-  /** Finds the newest open wire between two processes. */
+  /** Finds the newest open connection from one process to another. */
   Wire &wire(const std::string &From, const std::string &To) {
     const auto it =
         std::find_if(Wires.rbegin(), Wires.rend(), [&](const Wire &One) {
           return One.Open && One.From == From && One.To == To;
         });
     if (it == Wires.rend())
-      throw std::runtime_error("no wire " + From + " " + To);
+      throw std::runtime_error("no open connection from " + From + " to " + To);
     return *it;
   }
 
-  void closed(const std::string &Name, LinkId End) {
+  /** Tells a process that its link was closed. */
+  void notifyClosed(const std::string &Name, LinkId End) {
     if (Dead.contains(Name))
       return;
     Effects Out;
@@ -243,7 +252,8 @@
     perform(Name, Out);
   }
 
-  void opened(const std::string &Name, LinkId End) {
+  /** Tells a process that its link was opened. */
+  void notifyOpened(const std::string &Name, LinkId End) {
     Effects Out;
     if (Entries.contains(Name))
       entryLinkOpened(Entries.at(Name), End, Now, Out);
@@ -252,7 +262,7 @@
     perform(Name, Out);
   }
 
-  /** Hands a message to a process. */
+  /** Delivers a message to a process. */
   void deliver(const std::string &Name, LinkId End, const Message &m) {
     Effects Out;
     if (Entries.contains(Name))
@@ -262,7 +272,7 @@
     perform(Name, Out);
   }
 
-  /** Delivers until nothing moves. */
+  /** Delivers all queued messages, and those that they cause. */
   void pump() {
     for (bool Moved = true; Moved;) {
       Moved = false;
@@ -284,18 +294,21 @@
     }
   }
 
-  void open(const std::string &From, LinkId FromEnd, const std::string &To) {
+  /** Connects two processes; fails at once when the peer is dead. */
+  void openWire(const std::string &From, LinkId FromEnd,
+                const std::string &To) {
     if (Dead.contains(To)) {
-      closed(From, FromEnd);
+      notifyClosed(From, FromEnd);
       return;
     }
     Wires.push_back({From, To, FromEnd, LinkId{NextEnd++}, true, false, {}});
     const LinkId ToEnd = Wires.back().ToEnd;
-    opened(From, FromEnd);
-    opened(To, ToEnd);
+    notifyOpened(From, FromEnd);
+    notifyOpened(To, ToEnd);
   }
 
-  void send(const std::string &From, LinkId End, const Message &m) {
+  /** Queues a message on the connection that a link belongs to. */
+  void queueMessage(const std::string &From, LinkId End, const Message &m) {
     for (Wire &One : Wires) {
       if (!One.Open)
         continue;
@@ -306,15 +319,16 @@
     }
   }
 
-  /** One end drops its link; the other end notices only by silence. */
-  void dropped(const std::string &From, LinkId End) {
+  /** Holds the connection of a closed link: its other end notices only by
+   * silence. */
+  void holdWire(const std::string &From, LinkId End) {
     for (Wire &One : Wires)
       if (One.Open && ((One.From == From && One.FromEnd == End) ||
                        (One.To == From && One.ToEnd == End)))
         One.Held = true;
   }
 
-  /** Answers a call as the service does. */
+  /** Answers a call to an agent's service. */
   void answer(const std::string &Agent, const AttemptId &Which) {
     Effects Out;
     serviceAnswered(
@@ -325,15 +339,18 @@
     pump();
   }
 
+  /** Executes the effects of a process, or records them. */
   void perform(const std::string &Name, const Effects &Todo) {
     for (const Effect &One : Todo)
       std::visit(
           Overloaded{
               [&](const OpenLink &e) {
-                open(Name, e.Link, NameAt.at(e.To.Value));
+                openWire(Name, e.Link, NameAt.at(e.To.Value));
+              },
+              [&](const CloseLink &e) { holdWire(Name, e.Link); },
+              [&](const SendMessage &e) {
+                queueMessage(Name, e.Link, e.Content);
               },
-              [&](const CloseLink &e) { dropped(Name, e.Link); },
-              [&](const SendMessage &e) { send(Name, e.Link, e.Content); },
               [&](const CallPart &e) { Texts[e.Call.Value] += e.Data; },
               [&](const CallEnd &e) {
                 Finals[e.Call.Value] = {Texts[e.Call.Value], true,
@@ -350,7 +367,7 @@
               },
               [&](const RunModel &e) { Runs.emplace_back(Name, e.Request); },
               [](const auto &) {
-                // Logs, weights: not part of these tests.
+                // Logs and weights aren't simulated.
               }},
           One);
   }
--- a/tests/unit/pause_test.cpp
+++ b/tests/unit/pause_test.cpp
@@ -1,4 +1,4 @@
-/** @file pause_test.cpp Waking up late, and being cut off. */
+/** @file pause_test.cpp Tests pauses, loss of contact and departures. */
 // Labels: promise-3 promise-7
 
 #include "one_entry.h"
@@ -11,6 +11,7 @@
 
 namespace {
 
+/** An entry that has joined, and whose worker serves. */
 struct Joined : OneEntry {
   Joined() {
     read(document(5));
@@ -19,8 +20,9 @@
     BOOST_REQUIRE(!ask());
   }
 
-  /** Ticks while the named peers go on sending heartbeats. */
-  void passWith(Millis Time, const std::vector<std::string> &Peers) {
+  /** Advances time while the named peers send heartbeats. */
+  void advanceWithHeartbeats(Millis Time,
+                             const std::vector<std::string> &Peers) {
     for (Millis n{0}; n < Time; n += Millis{500}) {
       for (const std::string &Name : Peers)
         hear(Name, beat(Name));
@@ -29,7 +31,8 @@
   }
 };
 
-size_t closedLinks(const Effects &Out) {
+/** Counts the links that were closed. */
+size_t countClosedLinks(const Effects &Out) {
   return static_cast<size_t>(std::ranges::count_if(Out, [](const Effect &e) {
     return std::holds_alternative<CloseLink>(e);
   }));
@@ -39,23 +42,24 @@
 
 BOOST_FIXTURE_TEST_SUITE(Pause, Joined)
 
-// A domain was taken out while an entry stood still for 20 s; on waking it
-// sends requests there. The first event after the pause may be a request that
-// waited in a socket, before any tick. Cause: the old view was acted on.
+// An entry that was paused for 20 s must not act on its outdated view: it would
+// send requests to a domain that was taken out meanwhile. The first event after
+// the pause may be a request that waited in a socket, before any tick.
 BOOST_AUTO_TEST_CASE(ARequestRightAfterAPauseIsRefused) {
   const Incarnation Before = State.Fleet.Self.Run;
   const LinkId Old = linkOf("w");
   Now += std::chrono::seconds{20};
   BOOST_TEST((ask() == ErrorKind::StaleView));
-  BOOST_TEST(closedLinks(Out) == 4U);
+  BOOST_TEST(countClosedLinks(Out) == 4U);
   BOOST_TEST((State.Fleet.Self.Run != Before));
   entryMessage(State, Old, beat("w"), Now, Out); // Sent before the pause.
   BOOST_TEST(State.Fleet.Links.empty());
   entryConfigRead(State, {std::string(), {}}, Now - std::chrono::seconds{20},
-                  Now, Out); // Begun before the pause.
+                  Now, Out); // Read that began before the pause.
   BOOST_TEST(!State.Fleet.Joining.ServiceAnswered);
-  // It told all others that the service was there, which had gone away
-  // meanwhile; servers that lapsed then were taken for gone when it was back.
+  // Counted as contact, that answer would let this entry report to all others
+  // that the service answers, which may have gone down meanwhile. Servers whose
+  // registration expired in the outage would then count as gone.
   BOOST_TEST(!State.Fleet.Joining.ServiceHeard);
   joinAll(5);
   hear("w", beat("w"));
@@ -67,36 +71,38 @@
   BOOST_TEST(!ask());
 }
 
-BOOST_AUTO_TEST_CASE(CutOffRefusesAndContactReturns) {
-  passWith(Millis{2000}, {"b", "c", "e", "w"});
+BOOST_AUTO_TEST_CASE(ACutOffEntryRefusesWorkUntilItHasContact) {
+  advanceWithHeartbeats(Millis{2000}, {"b", "c", "e", "w"});
   BOOST_TEST(fresh());
-  passWith(Millis{7000}, {"w"}); // One of four wanted peers is left.
+  advanceWithHeartbeats(Millis{7000},
+                        {"w"}); // One of four wanted peers is left.
   BOOST_TEST((ask() == ErrorKind::StaleView));
   read("");
   pass(Millis{2000}); // The service answers again.
   BOOST_TEST(fresh());
 }
 
-// The service is down for an hour while the fleet is well: work goes on, for
-// nothing can have been published.
-BOOST_AUTO_TEST_CASE(WithoutTheServiceTheFleetIsEnough) {
-  passWith(Millis{60000}, {"b", "c", "w"});
+// While the configuration service is down for an hour, a healthy fleet has to
+// go on working: nothing can have been published.
+BOOST_AUTO_TEST_CASE(ContactWithMostPeersSufficesWithoutTheService) {
+  advanceWithHeartbeats(Millis{60000}, {"b", "c", "w"});
   BOOST_TEST(!ask());
 }
 
-// Two entries that are cut off together vouch for each other for ever.
-BOOST_AUTO_TEST_CASE(AnotherEntryThatIsCutOffIsNoContact) {
-  passWith(Millis{8000}, {"b"});
+// Two entries that are cut off together must not count as each other's contact:
+// both would go on with an outdated view for ever.
+BOOST_AUTO_TEST_CASE(ACutOffEntryDoesNotCountAsContact) {
+  advanceWithHeartbeats(Millis{8000}, {"b"});
   BOOST_TEST(!fresh());
   push(linkOf("b"), "", true);
-  passWith(Millis{3000}, {"b"});
+  advanceWithHeartbeats(Millis{3000}, {"b"});
   BOOST_TEST(!fresh());
 }
 
-// An agent gets SIGTERM while its peers are restarted one after the other. Its
-// shutdown ran to the time limit, since every peer that came back counted as
-// one that does not know yet, though only links that were asked can answer.
-BOOST_AUTO_TEST_CASE(APeerThatComesBackDoesNotHoldUpAShutdown) {
+// An agent that gets SIGTERM while its peers are restarted one after the other
+// must not run into the time limit of its shutdown. Only links that were asked
+// to acknowledge its leaving can answer; peers that reconnect must not count.
+BOOST_AUTO_TEST_CASE(APeerThatReconnectsDoesNotDelayAShutdown) {
   announceLeaving(State.Fleet, State.View, Now, Out);
   BOOST_TEST(!leavingIsKnown(State.Fleet));
   for (auto &[Link, Peer] : State.Fleet.Links)
@@ -113,15 +119,16 @@
 
 BOOST_FIXTURE_TEST_SUITE(Departures, Joined)
 
-// A worker that only another entry saw leaving goes on getting work here.
-BOOST_AUTO_TEST_CASE(ADepartureIsToldOnOnceAndForgottenInTheEnd) {
+// A worker must get no more work when only another entry knows that it is
+// leaving.
+BOOST_AUTO_TEST_CASE(ADepartureReportedByAPeerExpires) {
   hear("b", LeavingNotice{HostName{"w"}, Incarnation{11}, 4000});
   BOOST_TEST((ask() == ErrorKind::NoWorker));
-  passWith(Millis{6500}, {"b", "c", "e", "w"});
+  advanceWithHeartbeats(Millis{6500}, {"b", "c", "e", "w"});
   BOOST_TEST(!ask());
 }
 
-BOOST_AUTO_TEST_CASE(ANewRunOfALeavingHostGetsWorkAtOnce) {
+BOOST_AUTO_TEST_CASE(ANewIncarnationOfALeavingHostGetsWork) {
   hear("b", LeavingNotice{HostName{"w"}, Incarnation{10}, 0});
   BOOST_TEST(!ask());
   hear("b", LeavingNotice{HostName{"w"}, Incarnation{0}, 0});
--- a/tests/unit/roster_test.cpp
+++ b/tests/unit/roster_test.cpp
@@ -1,4 +1,4 @@
-/** @file roster_test.cpp Entries find each other from seeds. */
+/** @file roster_test.cpp Tests how entries find each other. */
 // Labels: membership
 
 #include "membership/join_func.h"
@@ -12,7 +12,8 @@
 
 namespace {
 
-Hello entry(const std::string &Name) {
+/** Makes the hello of an entry. */
+Hello entryHello(const std::string &Name) {
   Hello One;
   One.Name.Value = Name;
   One.Sender = Role::Entry;
@@ -22,21 +23,23 @@
   return One;
 }
 
-Membership fleetOf(const Hello &Self) {
+/** Makes the membership of a process without links. */
+Membership membershipOf(const Hello &Self) {
   Membership Fleet;
   Fleet.Self = Self;
   return Fleet;
 }
 
-void link(Membership &Fleet, LinkId Link, const Hello &Peer) {
+/** Adds a ready link to a peer. */
+void addReadyLink(Membership &Fleet, LinkId Link, const Hello &Peer) {
   PeerLink &Row = Fleet.Links[Link];
   Row.Link = Link;
   Row.State = LinkState::Ready;
   Row.Peer = Peer;
 }
 
-/** Names of entries told over a link. */
-std::vector<std::string> told(const Effects &Out, LinkId Link) {
+/** Gives the names of the entries announced over a link. */
+std::vector<std::string> announcedEntries(const Effects &Out, LinkId Link) {
   std::vector<std::string> Names;
   for (const Effect &One : Out)
     if (const auto *Sent = std::get_if<SendMessage>(&One);
@@ -48,60 +51,65 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(ANewEntryIsToldToAllAndLearnsOfAll) {
-  Membership Fleet = fleetOf(entry("e1"));
+BOOST_AUTO_TEST_CASE(ANewEntryAndItsPeersLearnOfEachOther) {
+  Membership Fleet = membershipOf(entryHello("e1"));
   Effects Out;
-  link(Fleet, LinkId{1}, entry("e2"));
-  BOOST_TEST(rosterHello(Fleet, LinkId{1}, entry("e2"), {}, Out));
-  link(Fleet, LinkId{2}, entry("e3"));
+  addReadyLink(Fleet, LinkId{1}, entryHello("e2"));
+  BOOST_TEST(exchangeEntries(Fleet, LinkId{1}, entryHello("e2"), {}, Out));
+  addReadyLink(Fleet, LinkId{2}, entryHello("e3"));
   Out.clear();
-  BOOST_TEST(rosterHello(Fleet, LinkId{2}, entry("e3"), {}, Out));
-  BOOST_TEST(told(Out, LinkId{1}) == std::vector<std::string>{"e3"});
-  BOOST_TEST(told(Out, LinkId{2}) == std::vector<std::string>{"e2"});
+  BOOST_TEST(exchangeEntries(Fleet, LinkId{2}, entryHello("e3"), {}, Out));
+  BOOST_TEST(announcedEntries(Out, LinkId{1}) ==
+             std::vector<std::string>{"e3"});
+  BOOST_TEST(announcedEntries(Out, LinkId{2}) ==
+             std::vector<std::string>{"e2"});
   BOOST_TEST(knownEntries(nullptr, Fleet).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(AnAgentLeadsEntriesToEachOther) {
-  // All seeds were down when a host was added. It read the servers from the
-  // platform, linked to their agents, and found no other entry: the directory
-  // named it alone.
+BOOST_AUTO_TEST_CASE(AnAgentRelaysEntriesToEachOther) {
+  // A host is added while all seeds are down. It learns of the agents from the
+  // platform and links to them; they have to relay the entries, or else it
+  // finds no other entry and the directory lists it alone.
   Hello Agent;
   Agent.Name.Value = "w";
   Agent.Sender = Role::Agent;
-  Membership Fleet = fleetOf(Agent);
+  Membership Fleet = membershipOf(Agent);
   Effects Out;
-  link(Fleet, LinkId{1}, entry("e1"));
-  rosterHello(Fleet, LinkId{1}, entry("e1"), {}, Out);
-  link(Fleet, LinkId{2}, entry("e2"));
+  addReadyLink(Fleet, LinkId{1}, entryHello("e1"));
+  exchangeEntries(Fleet, LinkId{1}, entryHello("e1"), {}, Out);
+  addReadyLink(Fleet, LinkId{2}, entryHello("e2"));
   Out.clear();
-  rosterHello(Fleet, LinkId{2}, entry("e2"), {}, Out);
-  BOOST_TEST(told(Out, LinkId{2}) == std::vector<std::string>{"e1"});
-  BOOST_TEST(told(Out, LinkId{1}) == std::vector<std::string>{"e2"});
+  exchangeEntries(Fleet, LinkId{2}, entryHello("e2"), {}, Out);
+  BOOST_TEST(announcedEntries(Out, LinkId{2}) ==
+             std::vector<std::string>{"e1"});
+  BOOST_TEST(announcedEntries(Out, LinkId{1}) ==
+             std::vector<std::string>{"e2"});
 }
 
-BOOST_AUTO_TEST_CASE(HearsayEndsWhereItIsKnown) {
-  Membership Fleet = fleetOf(entry("e1"));
+BOOST_AUTO_TEST_CASE(AnEntryThatIsKnownIsNotAnnouncedAgain) {
+  Membership Fleet = membershipOf(entryHello("e1"));
   Effects Out;
   const EntrySeen Seen{{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}};
-  BOOST_TEST(entrySeen(Fleet, Seen, {}, Out));
-  BOOST_TEST(!entrySeen(Fleet, Seen, {}, Out));
-  BOOST_TEST(!entrySeen(Fleet, {{"e1"}, {"d"}, {"x:1"}, {"x:2"}}, {}, Out));
+  BOOST_TEST(handleEntrySeen(Fleet, Seen, {}, Out));
+  BOOST_TEST(!handleEntrySeen(Fleet, Seen, {}, Out));
+  BOOST_TEST(
+      !handleEntrySeen(Fleet, {{"e1"}, {"d"}, {"x:1"}, {"x:2"}}, {}, Out));
 }
 
-BOOST_AUTO_TEST_CASE(AnEntryWithoutALinkIsForgottenAfterAMinute) {
-  Membership Fleet = fleetOf(entry("e1"));
+BOOST_AUTO_TEST_CASE(AnEntryWithoutALinkIsRemovedAfterAMinute) {
+  Membership Fleet = membershipOf(entryHello("e1"));
   Effects Out;
-  entrySeen(Fleet, {{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}}, {}, Out);
-  entrySeen(Fleet, {{"e3"}, {"d"}, {"e3:1"}, {"e3:2"}}, {}, Out);
-  link(Fleet, LinkId{1}, entry("e3"));
+  handleEntrySeen(Fleet, {{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}}, {}, Out);
+  handleEntrySeen(Fleet, {{"e3"}, {"d"}, {"e3:1"}, {"e3:2"}}, {}, Out);
+  addReadyLink(Fleet, LinkId{1}, entryHello("e3"));
   const TimePoint Later = TimePoint{} + std::chrono::seconds(59);
-  BOOST_TEST(!rosterTick(Fleet, Later));
-  BOOST_TEST(rosterTick(Fleet, Later + std::chrono::seconds(2)));
+  BOOST_TEST(!removeStaleEntries(Fleet, Later));
+  BOOST_TEST(removeStaleEntries(Fleet, Later + std::chrono::seconds(2)));
   BOOST_TEST(knownEntries(nullptr, Fleet).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(APublishedListGoesFirst) {
-  Membership Fleet = fleetOf(entry("e1"));
+BOOST_AUTO_TEST_CASE(APublishedListTakesPrecedence) {
+  Membership Fleet = membershipOf(entryHello("e1"));
   Document Doc;
   Doc.Entries.push_back({{"p"}, {"d"}, {"p:1"}, {"p:2"}});
   BOOST_TEST(knownEntries(&Doc, Fleet).size() == 1U);
