--- a/packages/core/src/attempts/call.cpp
+++ b/packages/core/src/attempts/call.cpp
@@ -1,4 +1,4 @@
-/** @file call.cpp Calls of an entry host: attempts, frames and ends. */
+/** @file call.cpp Attempts, answer frames and final results of calls. */
 
 #include "attempts/call_func.h"
 
@@ -20,184 +20,204 @@
 
 namespace {
 
-/** Attempts of one call, the first included. */
-constexpr uint32_t MaxTries = 4;
+/** Including the first attempt. */
+constexpr uint32_t MaxAttemptsPerCall = 4;
 /**
- * How long a lost attempt is asked after before it is tried elsewhere. Above
- * the time to reopen a link, below what a caller notices much.
+ * How long a repeatable call waits for news of a lost attempt before it is
+ * retried elsewhere. Longer than it takes to reopen a link, yet short enough
+ * that callers hardly notice.
  */
-constexpr Millis AskRepeatable{1500};
-/** The same for a call that may not be repeated: only its home can answer. */
-constexpr Millis AskKeyed{5000};
-/** How long a keyed call waits for a link to its home. */
-constexpr Millis HomeWait{2000};
-/** An agent gives up waiting work this long before the entry's deadline. */
+constexpr Millis LostRepeatableTimeout{1500};
+/** The same for a keyed call, longer because only its home can answer. */
+constexpr Millis LostKeyedTimeout{5000};
+/** How long a keyed call waits for a ready link to its home. */
+constexpr Millis HomeLinkTimeout{2000};
+/** How much earlier than the entry an agent's deadline expires. */
 constexpr Millis DeadlineMargin{200};
 
-/** Forgets the attempt under way. */
-void dropAttempt(EntryState &Entry, Call &One) {
-  if (One.Attempt.Id.Value.empty())
+/** Removes the open attempt of a call from the state, if there is one. */
+void dropAttempt(EntryState &Entry, Call &ActiveCall) {
+  if (ActiveCall.Attempt.Id.Value.empty())
     return;
-  Entry.Attempts.erase(One.Attempt.Id);
-  const auto Open = Entry.OpenAt.find(One.Attempt.Worker);
-  if (Open != Entry.OpenAt.end() && --Open->second == 0)
-    Entry.OpenAt.erase(Open);
-  One.Attempt = OpenAttempt{};
+  Entry.Attempts.erase(ActiveCall.Attempt.Id);
+  const auto Open = Entry.OpenByWorker.find(ActiveCall.Attempt.Worker);
+  if (Open != Entry.OpenByWorker.end() && --Open->second == 0)
+    Entry.OpenByWorker.erase(Open);
+  ActiveCall.Attempt = OpenAttempt{};
 }
 
-/** Gives the call of an attempt under way, or null for a late message. */
-Call *callOf(EntryState &Entry, const AttemptId &Attempt) {
+/** Finds the call of an open attempt; null for an attempt that has ended. */
+Call *findCall(EntryState &Entry, const AttemptId &Attempt) {
   const auto it = Entry.Attempts.find(Attempt);
   if (it == Entry.Attempts.end())
     return nullptr;
   return &Entry.Calls.at(it->second);
 }
 
-bool repeatable(const EntryState &Entry, const Call &One) {
-  const WorkClass *Class = findClass(*Entry.View.InForce, One.Asked.Class);
+/** True when the class of a call is in force and repeatable. */
+bool isRepeatable(const EntryState &Entry, const Call &ActiveCall) {
+  const WorkClass *Class =
+      findClass(*Entry.View.InForce, ActiveCall.Received.Class);
   return Class != nullptr && Class->Repeatable;
 }
 
 /**
- * Deadline as an agent gets it. The agent says "not run" of work that waited
- * too long, and the word must be here before the deadline; otherwise the entry
- * could only say "unknown".
+ * Time that is left for an attempt, as sent to the agent, in milliseconds. The
+ * agent reports work that waited too long as not run. The report must arrive
+ * before the entry's deadline, or the entry could only report "unknown".
  */
-uint64_t remainingFor(const Call &One, TimePoint Now) {
-  const Millis Left = toMillis(One.Deadline - Now);
+uint64_t remainingMillisForAgent(const Call &ActiveCall, TimePoint Now) {
+  const Millis Left = toMillis(ActiveCall.Deadline - Now);
   const Millis Margin = std::min(DeadlineMargin, Left / 4);
   return static_cast<uint64_t>((Left - Margin).count());
 }
 
-/** Joins what is known of two attempts: one that ran outweighs a guess. */
-Ran worseOf(Ran A, Ran B) {
+/** Combines the outcomes of two attempts: Yes over Unknown, Unknown over No. */
+Ran combineExecuted(Ran A, Ran B) {
   if (A == Ran::Yes || B == Ran::Yes)
     return Ran::Yes;
   return A == Ran::Unknown ? A : B;
 }
 
-/** Tries again elsewhere, or ends the call when nothing may be tried. */
-void retryOrEnd(EntryState &Entry, Call &One, const Failure &Why, Ran Executed,
-                TimePoint Now, Effects &Out) {
-  One.Tried.push_back(One.Attempt.Worker);
-  One.Executed = worseOf(One.Executed, Executed);
-  dropAttempt(Entry, One);
-  // A home that refused a key has barred it: trying again would be in vain.
-  const bool Harmless =
-      (Executed == Ran::No && !One.HomeSaidNo) || repeatable(Entry, One);
-  const bool Passing = answerFor(Why.Kind).RetryAfterMillis > 0 ||
-                       Why.Kind == ErrorKind::OutcomeUnknown;
-  const bool InTime = One.Tries < MaxTries && Now < One.Deadline;
-  if (Harmless && Passing && InTime &&
-      spendRetry(Entry.Retries, One.Asked.Class, One.Asked.Tenant)) {
-    startAttempt(Entry, One, Now, Out);
+/**
+ * Ends the open attempt and retries the call elsewhere; ends the call when no
+ * retry is allowed.
+ */
+void retryOrEnd(EntryState &Entry, Call &ActiveCall, const Failure &Why,
+                Ran Executed, TimePoint Now, Effects &Out) {
+  ActiveCall.Tried.push_back(ActiveCall.Attempt.Worker);
+  ActiveCall.Executed = combineExecuted(ActiveCall.Executed, Executed);
+  dropAttempt(Entry, ActiveCall);
+  // A home that has refused a key keeps refusing it: a retry would fail too.
+  const bool MayRunAgain =
+      (Executed == Ran::No && !ActiveCall.HomeConfirmedNotRun) ||
+      isRepeatable(Entry, ActiveCall);
+  const bool IsTransient = answerFor(Why.Kind).RetryAfterMillis > 0 ||
+                           Why.Kind == ErrorKind::OutcomeUnknown;
+  const bool CanStillTry =
+      ActiveCall.Tries < MaxAttemptsPerCall && Now < ActiveCall.Deadline;
+  if (MayRunAgain && IsTransient && CanStillTry &&
+      trySpendRetry(Entry.Retries, ActiveCall.Received.Class,
+                    ActiveCall.Received.Tenant)) {
+    startAttempt(Entry, ActiveCall, Now, Out);
     return;
   }
-  endCallWithError(Entry, One.Asked.Call, Why, Executed, Out);
+  endCallWithError(Entry, ActiveCall.Received.Call, Why, Executed, Out);
 }
 
-void sendAttempt(EntryState &Entry, Call &One, const Candidate &To,
+/** Opens an attempt of a call and sends it to a worker. */
+void sendAttempt(EntryState &Entry, Call &ActiveCall, const Candidate &To,
                  TimePoint Now, Effects &Out) {
-  OpenAttempt &Next = One.Attempt;
+  OpenAttempt &Next = ActiveCall.Attempt;
   Next.Id.Value = std::to_string(Entry.Fleet.Self.Run.Value) + "-" +
                   std::to_string(Entry.NextAttempt++);
   Next.Worker = To.Name;
   Next.Link = To.Link;
   Next.Run = Entry.Fleet.Links.at(To.Link).Peer.Run;
-  Next.FirstFrame = One.NextFrame;
-  Next.TextOffset = One.Text.size();
-  ++One.Tries;
-  ++Entry.OpenAt[To.Name];
-  noteSent(Entry.Fleet, To.Link);
-  Entry.Attempts[Next.Id] = One.Asked.Call;
+  Next.FirstFrame = ActiveCall.NextFrame;
+  Next.TextOffset = ActiveCall.Text.size();
+  ++ActiveCall.Tries;
+  ++Entry.OpenByWorker[To.Name];
+  countSentAttempt(Entry.Fleet, To.Link);
+  Entry.Attempts[Next.Id] = ActiveCall.Received.Call;
   AttemptStart m;
   m.Attempt = Next.Id;
-  m.Request = One.Asked.Request;
-  m.Class = One.Asked.Class;
-  m.Tenant = One.Asked.Tenant;
-  m.Body = One.Asked.Body;
-  m.RemainingMillis = One.OnlyAsked ? 0 : remainingFor(One, Now);
-  m.Key = One.Asked.Key;
-  m.Token = One.Asked.Token;
-  m.ResumeOn = One.Weights;
-  m.ResumeFrom = One.NextFrame;
-  m.Alone = suspicionOf(Entry, One, Now) == Suspicion::RunAlone;
+  m.Request = ActiveCall.Received.Request;
+  m.Class = ActiveCall.Received.Class;
+  m.Tenant = ActiveCall.Received.Tenant;
+  m.Body = ActiveCall.Received.Body;
+  m.RemainingMillis =
+      ActiveCall.QueryOnly ? 0 : remainingMillisForAgent(ActiveCall, Now);
+  m.Key = ActiveCall.Received.Key;
+  m.Token = ActiveCall.Received.Token;
+  m.ResumeOn = ActiveCall.Weights;
+  m.ResumeFrom = ActiveCall.NextFrame;
+  m.Alone = suspicionOf(Entry, ActiveCall, Now) == Suspicion::RunAlone;
   Out.push_back(SendMessage{To.Link, m});
 }
 
-/** Ends a call whose request cost too many back ends. */
-void endQuarantined(EntryState &Entry, const Call &One, TimePoint Now,
-                    Effects &Out) {
-  const Millis Left = refusedFor(
-      Entry.Suspects,
-      fingerprintOf(One.Asked.Tenant, One.Asked.Class, One.Asked.Body), Now);
-  // Its earlier tries did run, though none to its end.
-  endCallWithError(Entry, One.Asked.Call,
+/** Ends a call whose request has made too many back ends fail. */
+void endQuarantinedCall(EntryState &Entry, const Call &ActiveCall,
+                        TimePoint Now, Effects &Out) {
+  const Millis Left = refusedFor(Entry.Suspects,
+                                 fingerprintOf(ActiveCall.Received.Tenant,
+                                               ActiveCall.Received.Class,
+                                               ActiveCall.Received.Body),
+                                 Now);
+  // Earlier attempts did run, though none to completion.
+  endCallWithError(Entry, ActiveCall.Received.Call,
                    {ErrorKind::Quarantined, "it made back ends fail", Left},
-                   One.Tries > 0 ? Ran::Unknown : Ran::No, Out);
+                   ActiveCall.Tries > 0 ? Ran::Unknown : Ran::No, Out);
 }
 
 /**
- * Sends an attempt again that its agent never saw. It cost no back end
- * anything, so it is no retry in the sense of the budget, and says nothing
- * against the worker.
+ * Starts a call again whose attempt never reached its agent. No back end did
+ * any work, so it does not count against the retry budget, and the same worker
+ * may be chosen again.
  */
-void sendUnseenAgain(EntryState &Entry, Call &One, TimePoint Now,
-                     Effects &Out) {
-  dropAttempt(Entry, One);
-  if (One.Tries < MaxTries && Now < One.Deadline) {
-    startAttempt(Entry, One, Now, Out);
+void resendUndelivered(EntryState &Entry, Call &ActiveCall, TimePoint Now,
+                       Effects &Out) {
+  dropAttempt(Entry, ActiveCall);
+  if (ActiveCall.Tries < MaxAttemptsPerCall && Now < ActiveCall.Deadline) {
+    startAttempt(Entry, ActiveCall, Now, Out);
     return;
   }
-  endCallWithError(Entry, One.Asked.Call,
+  endCallWithError(Entry, ActiveCall.Received.Call,
                    {ErrorKind::Unreachable, "never arrived", {}}, Ran::No, Out);
 }
 
-/** Goes on without an attempt whose agent did not answer for it. */
-void giveUpLost(EntryState &Entry, Call &One, TimePoint Now, Effects &Out) {
-  if (One.NextFrame > 0)
+/** Retries or ends a call whose lost attempt cannot be recovered. */
+void abandonLostAttempt(EntryState &Entry, Call &ActiveCall, TimePoint Now,
+                        Effects &Out) {
+  if (ActiveCall.NextFrame > 0)
     ++Entry.Counters.Resumes;
-  retryOrEnd(Entry, One, {ErrorKind::OutcomeUnknown, "agent lost", {}},
+  retryOrEnd(Entry, ActiveCall, {ErrorKind::OutcomeUnknown, "agent lost", {}},
              Ran::Unknown, Now, Out);
 }
 
+/** Retries or ends the calls with a lost attempt that meet a condition. */
 template <typename Predicate>
-void giveUpLostWhere(EntryState &Entry, Predicate Which, TimePoint Now,
-                     Effects &Out) {
-  std::vector<CallId> Chosen;
-  for (const auto &[Id, One] : Entry.Calls)
-    if (One.Attempt.Lost && Which(One))
-      Chosen.push_back(Id);
-  for (const CallId Id : Chosen)
-    giveUpLost(Entry, Entry.Calls.at(Id), Now, Out);
+void abandonLostAttemptsIf(EntryState &Entry, Predicate IsSelected,
+                           TimePoint Now, Effects &Out) {
+  std::vector<CallId> Selected;
+  for (const auto &[Id, ActiveCall] : Entry.Calls)
+    if (ActiveCall.Attempt.LostSince && IsSelected(ActiveCall))
+      Selected.push_back(Id);
+  for (const CallId Id : Selected)
+    abandonLostAttempt(Entry, Entry.Calls.at(Id), Now, Out);
 }
 
-/** Sends a keyed call to its home, or lets it wait a while for a link. */
-void startKeyed(EntryState &Entry, Call &One, TimePoint Now, Effects &Out) {
-  const HostName Home = homeOfCall(Entry, One);
+/** Sends a keyed call to its home, or lets it wait for a ready link. */
+void startKeyedAttempt(EntryState &Entry, Call &ActiveCall, TimePoint Now,
+                       Effects &Out) {
+  const HostName Home = homeOfCall(Entry, ActiveCall);
   const PeerLink *Link = readyLink(Entry.Fleet, Home);
-  if (Link == nullptr && One.OnlyAsked) {
-    endCallWithError(Entry, One.Asked.Call, {ErrorKind::Leaving, "", {}},
-                     Ran::No, Out);
+  if (Link == nullptr && ActiveCall.QueryOnly) {
+    endCallWithError(Entry, ActiveCall.Received.Call,
+                     {ErrorKind::Leaving, "", {}}, Ran::No, Out);
     return;
   }
   if (Link == nullptr) {
-    if (!One.HomeSought)
-      One.HomeSought = Now;
+    if (!ActiveCall.WaitingForHomeSince)
+      ActiveCall.WaitingForHomeSince = Now;
     return;
   }
-  One.HomeSought.reset();
-  sendAttempt(Entry, One, {Home, Link->Link, Link->Load, 0}, Now, Out);
+  ActiveCall.WaitingForHomeSince.reset();
+  sendAttempt(Entry, ActiveCall, {Home, Link->Link, Link->Load, 0}, Now, Out);
 }
 
-/** Ends keyed calls whose home cannot be reached. */
+/**
+ * Ends the keyed calls that wait for a link to their home and meet a
+ * condition.
+ */
 template <typename Predicate>
-void endSeekingWhere(EntryState &Entry, Predicate Which, Effects &Out) {
-  std::vector<CallId> Chosen;
-  for (const auto &[Id, One] : Entry.Calls)
-    if (One.HomeSought && Which(One))
-      Chosen.push_back(Id);
-  for (const CallId Id : Chosen)
+void endCallsWaitingForHomeIf(EntryState &Entry, Predicate IsSelected,
+                              Effects &Out) {
+  std::vector<CallId> Selected;
+  for (const auto &[Id, ActiveCall] : Entry.Calls)
+    if (ActiveCall.WaitingForHomeSince && IsSelected(ActiveCall))
+      Selected.push_back(Id);
+  for (const CallId Id : Selected)
     endCallWithError(Entry, Id,
                      {ErrorKind::NoWorker, "the key's home is not reached", {}},
                      Ran::No, Out);
@@ -205,38 +225,42 @@
 
 } // namespace
 
-void startAttempt(EntryState &Entry, Call &One, TimePoint Now, Effects &Out) {
-  const WorkClass *Class = findClass(*Entry.View.InForce, One.Asked.Class);
+void startAttempt(EntryState &Entry, Call &ActiveCall, TimePoint Now,
+                  Effects &Out) {
+  const WorkClass *Class =
+      findClass(*Entry.View.InForce, ActiveCall.Received.Class);
   if (Class == nullptr) {
     endCallWithError(
-        Entry, One.Asked.Call,
-        {ErrorKind::NotFound, "class " + One.Asked.Class.Value, {}}, Ran::No,
-        Out);
+        Entry, ActiveCall.Received.Call,
+        {ErrorKind::NotFound, "class " + ActiveCall.Received.Class.Value, {}},
+        Ran::No, Out);
     return;
   }
-  if (suspicionOf(Entry, One, Now) == Suspicion::Refuse) {
-    endQuarantined(Entry, One, Now, Out);
+  if (suspicionOf(Entry, ActiveCall, Now) == Suspicion::Refuse) {
+    endQuarantinedCall(Entry, ActiveCall, Now, Out);
     return;
   }
   if (!Class->Repeatable) {
-    startKeyed(Entry, One, Now, Out);
+    startKeyedAttempt(Entry, ActiveCall, Now, Out);
     return;
   }
-  const std::vector<Candidate> Choice = candidatesFor(Entry, *Class, One);
-  const size_t n = chooseFor(Entry, *Class, One, Choice, Now);
-  if (n < Choice.size()) {
-    if (One.Tries > 0)
+  const std::vector<Candidate> Candidates =
+      candidatesFor(Entry, *Class, ActiveCall);
+  const size_t n = chooseCandidate(Entry, *Class, ActiveCall, Candidates, Now);
+  if (n < Candidates.size()) {
+    if (ActiveCall.Tries > 0)
       ++Entry.Counters.Retries;
-    sendAttempt(Entry, One, Choice[n], Now, Out);
+    sendAttempt(Entry, ActiveCall, Candidates[n], Now, Out);
     return;
   }
-  // Nobody is left: what the caller is told depends on what it already has.
-  if (One.NextFrame > 0)
-    endCallWithError(Entry, One.Asked.Call,
+  // No worker is left. The error depends on whether the caller already has a
+  // part of the answer.
+  if (ActiveCall.NextFrame > 0)
+    endCallWithError(Entry, ActiveCall.Received.Call,
                      {ErrorKind::PartialAnswer, "no worker to resume on", {}},
                      Ran::Yes, Out);
   else
-    endCallWithError(Entry, One.Asked.Call,
+    endCallWithError(Entry, ActiveCall.Received.Call,
                      {ErrorKind::NoWorker, "no worker is ready", {}}, Ran::No,
                      Out);
 }
@@ -246,188 +270,205 @@
   const auto it = Entry.Calls.find(Id);
   if (it == Entry.Calls.end())
     return;
-  Call &One = it->second;
-  dropAttempt(Entry, One);
-  // The last attempt's "not run" says nothing of the ones before it: the
-  // request may have run there, or the caller may hold a part of the answer.
-  const Ran Part = One.NextFrame > 0 ? Ran::Yes : Ran::No;
-  const Ran Told =
-      ranOfKey(Entry, One, Why, worseOf(worseOf(One.Executed, Executed), Part));
-  const bool Barred = One.HomeSaidNo && Told == Ran::No &&
-                      !One.Asked.Token.empty() &&
-                      Why.Kind != ErrorKind::KeyConflict;
+  Call &ActiveCall = it->second;
+  dropAttempt(Entry, ActiveCall);
+  // A last attempt that did not run does not mean that the call did not run: an
+  // earlier attempt may have run, or the caller may hold a part of the answer.
+  const Ran Part = ActiveCall.NextFrame > 0 ? Ran::Yes : Ran::No;
+  const Ran Reported = executionToReport(
+      Entry, ActiveCall, Why,
+      combineExecuted(combineExecuted(ActiveCall.Executed, Executed), Part));
+  const bool KeyRefused =
+      ActiveCall.HomeConfirmedNotRun && Reported == Ran::No &&
+      !ActiveCall.Received.Token.empty() && Why.Kind != ErrorKind::KeyConflict;
   Failure Final = Why;
-  if (One.NextFrame > 0 && Why.Kind != ErrorKind::PartialAnswer)
+  if (ActiveCall.NextFrame > 0 && Why.Kind != ErrorKind::PartialAnswer)
     Final = {ErrorKind::PartialAnswer,
              std::string(answerFor(Why.Kind).Name) + " " + Why.Detail,
              Why.RetryAfter};
   ++Entry.Counters.Errors[Final.Kind];
-  CallError Error{Id, Final, Told, {}, {}};
-  if (Barred)
-    Error.Token = makeHomeToken(Entry, One.Asked.Class);
-  // These say nothing of the work but that this entry is the wrong one.
+  CallError Error{Id, Final, Reported, {}, {}};
+  if (KeyRefused)
+    Error.Token = makeHomeToken(Entry, ActiveCall.Received.Class);
+  // These errors concern this entry only: the caller may try another one.
   if (Final.Kind == ErrorKind::Leaving || Final.Kind == ErrorKind::StaleView)
-    Error.Elsewhere = addressesFor(Entry, One.Asked.Caller);
+    Error.Elsewhere = addressesFor(Entry, ActiveCall.Received.Caller);
   Out.push_back(std::move(Error));
   Entry.Calls.erase(it);
 }
 
-void attemptBegun(EntryState &Entry, const AttemptBegun &m, Effects &Out) {
-  Call *One = callOf(Entry, m.Attempt);
-  if (One == nullptr) {
+void handleAttemptBegun(EntryState &Entry, const AttemptBegun &m,
+                        Effects &Out) {
+  Call *ActiveCall = findCall(Entry, m.Attempt);
+  if (ActiveCall == nullptr) {
     ++Entry.Counters.DroppedFrames;
     return;
   }
-  One->Attempt.Begun = true;
-  if (One->NextFrame == 0) {
-    One->Weights = m.Weights;
+  ActiveCall->Attempt.Begun = true;
+  if (ActiveCall->NextFrame == 0) {
+    ActiveCall->Weights = m.Weights;
     return;
   }
-  if (One->Weights == m.Weights)
+  if (ActiveCall->Weights == m.Weights)
     return;
-  // The agent loaded other weights between choice and start: a resumed answer
-  // would mix two models.
-  Out.push_back(SendMessage{One->Attempt.Link, AttemptCancel{m.Attempt}});
-  endCallWithError(Entry, One->Asked.Call,
+  // The agent loaded other weights after it was chosen. Resuming would mix the
+  // answers of two sets of weights.
+  Out.push_back(
+      SendMessage{ActiveCall->Attempt.Link, AttemptCancel{m.Attempt}});
+  endCallWithError(Entry, ActiveCall->Received.Call,
                    {ErrorKind::PartialAnswer, "weights changed", {}}, Ran::Yes,
                    Out);
 }
 
-void frameArrived(EntryState &Entry, const AnswerFrame &m, Effects &Out) {
-  Call *One = callOf(Entry, m.Attempt);
-  if (One == nullptr || m.Sequence != One->NextFrame) {
+void handleAnswerFrame(EntryState &Entry, const AnswerFrame &m, Effects &Out) {
+  Call *ActiveCall = findCall(Entry, m.Attempt);
+  if (ActiveCall == nullptr || m.Sequence != ActiveCall->NextFrame) {
     ++Entry.Counters.DroppedFrames;
     return;
   }
-  ++One->NextFrame;
-  One->Text += m.Data;
-  Out.push_back(CallPart{One->Asked.Call, m.Data});
+  ++ActiveCall->NextFrame;
+  ActiveCall->Text += m.Data;
+  Out.push_back(CallPart{ActiveCall->Received.Call, m.Data});
 }
 
-void answerEnded(EntryState &Entry, const AnswerEnd &m, TimePoint Now,
-                 Effects &Out) {
-  Call *One = callOf(Entry, m.Attempt);
-  if (One == nullptr) {
+void handleAnswerEnd(EntryState &Entry, const AnswerEnd &m, TimePoint Now,
+                     Effects &Out) {
+  Call *ActiveCall = findCall(Entry, m.Attempt);
+  if (ActiveCall == nullptr) {
     ++Entry.Counters.DroppedFrames;
     return;
   }
-  const std::string Part = One->Text.substr(One->Attempt.TextOffset);
-  if (m.Count != One->NextFrame || m.Content != sha256(Part)) {
-    // A frame was lost or changed on the way. The part that the caller has is
-    // not known to be right, so nothing may be added to it.
+  const std::string Part =
+      ActiveCall->Text.substr(ActiveCall->Attempt.TextOffset);
+  if (m.Count != ActiveCall->NextFrame || m.Content != sha256(Part)) {
+    // A frame was lost or changed in transit. The part that the caller has may
+    // be wrong, so the answer must not be continued.
     const Failure Why{ErrorKind::PartialAnswer, "count or digest differs", {}};
-    if (One->NextFrame > 0)
-      endCallWithError(Entry, One->Asked.Call, Why, Ran::Yes, Out);
+    if (ActiveCall->NextFrame > 0)
+      endCallWithError(Entry, ActiveCall->Received.Call, Why, Ran::Yes, Out);
     else
-      retryOrEnd(Entry, *One, Why, Ran::Unknown, Now, Out);
+      retryOrEnd(Entry, *ActiveCall, Why, Ran::Unknown, Now, Out);
     return;
   }
-  dropAttempt(Entry, *One);
-  Out.push_back(CallEnd{One->Asked.Call, m.Status, m.Count, sha256(One->Text),
-                        One->Weights});
-  Entry.Calls.erase(One->Asked.Call);
+  dropAttempt(Entry, *ActiveCall);
+  Out.push_back(CallEnd{ActiveCall->Received.Call, m.Status, m.Count,
+                        sha256(ActiveCall->Text), ActiveCall->Weights});
+  Entry.Calls.erase(ActiveCall->Received.Call);
 }
 
-void attemptFailed(EntryState &Entry, const AttemptFailed &m, TimePoint Now,
-                   Effects &Out) {
-  Call *One = callOf(Entry, m.Attempt);
-  if (One == nullptr) {
+void handleAttemptFailed(EntryState &Entry, const AttemptFailed &m,
+                         TimePoint Now, Effects &Out) {
+  Call *ActiveCall = findCall(Entry, m.Attempt);
+  if (ActiveCall == nullptr) {
     ++Entry.Counters.DroppedFrames;
     return;
   }
-  One->HomeSaidNo = m.Executed == Ran::No && isKeyed(Entry, *One);
-  const bool Refused = One->OnlyAsked && m.Kind != ErrorKind::KeyConflict &&
+  ActiveCall->HomeConfirmedNotRun =
+      m.Executed == Ran::No && isKeyed(Entry, *ActiveCall);
+  const bool Refused = ActiveCall->QueryOnly &&
+                       m.Kind != ErrorKind::KeyConflict &&
                        m.Kind != ErrorKind::OutcomeUnknown;
   const Failure Why{Refused ? ErrorKind::Leaving : m.Kind, m.Detail,
                     Millis(static_cast<int64_t>(m.RetryAfterMillis))};
-  retryOrEnd(Entry, *One, Why, m.Executed, Now, Out);
+  retryOrEnd(Entry, *ActiveCall, Why, m.Executed, Now, Out);
 }
 
-void attemptsLost(EntryState &Entry, LinkId Link, TimePoint Now) {
-  for (auto &[Id, One] : Entry.Calls) {
-    OpenAttempt &Attempt = One.Attempt;
-    if (Attempt.Link != Link || Attempt.Id.Value.empty() || Attempt.Lost)
+void markAttemptsLost(EntryState &Entry, LinkId Link, TimePoint Now) {
+  for (auto &[Id, ActiveCall] : Entry.Calls) {
+    OpenAttempt &Attempt = ActiveCall.Attempt;
+    if (Attempt.Link != Link || Attempt.Id.Value.empty() || Attempt.LostSince)
       continue;
-    Attempt.Lost = Now;
+    Attempt.LostSince = Now;
     Attempt.Link = LinkId{};
   }
 }
 
-void askAfterAttempts(EntryState &Entry, const HostName &Worker, LinkId Link,
-                      TimePoint Now, Effects &Out) {
-  for (auto &[Id, One] : Entry.Calls) {
-    OpenAttempt &Attempt = One.Attempt;
-    if (!Attempt.Lost || Attempt.Worker != Worker)
+void handleAgentReached(EntryState &Entry, const HostName &Worker, LinkId Link,
+                        TimePoint Now, Effects &Out) {
+  for (auto &[Id, ActiveCall] : Entry.Calls) {
+    OpenAttempt &Attempt = ActiveCall.Attempt;
+    if (!Attempt.LostSince || Attempt.Worker != Worker)
       continue;
     Attempt.Link = Link;
-    Out.push_back(SendMessage{Link, AttemptQuery{Attempt.Id, One.NextFrame}});
+    Out.push_back(
+        SendMessage{Link, AttemptQuery{Attempt.Id, ActiveCall.NextFrame}});
   }
-  for (auto &[Id, One] : Entry.Calls)
-    if (One.HomeSought && homeOfCall(Entry, One) == Worker)
-      startKeyed(Entry, One, Now, Out);
+  for (auto &[Id, ActiveCall] : Entry.Calls)
+    if (ActiveCall.WaitingForHomeSince &&
+        homeOfCall(Entry, ActiveCall) == Worker)
+      startKeyedAttempt(Entry, ActiveCall, Now, Out);
 }
 
-void attemptStatusHeard(EntryState &Entry, const AttemptStatus &m,
-                        TimePoint Now, Effects &Out) {
-  Call *One = callOf(Entry, m.Attempt);
-  if (One == nullptr || !One->Attempt.Lost) {
+void handleAttemptStatus(EntryState &Entry, const AttemptStatus &m,
+                         TimePoint Now, Effects &Out) {
+  Call *ActiveCall = findCall(Entry, m.Attempt);
+  if (ActiveCall == nullptr || !ActiveCall->Attempt.LostSince) {
     ++Entry.Counters.DroppedFrames;
     return;
   }
   if (m.Known != AttemptKnown::NeverSeen) {
-    One->Attempt.Lost.reset();
+    ActiveCall->Attempt.LostSince.reset();
     ++Entry.Counters.Recovered;
     return;
   }
-  // Only the incarnation that the start was sent to can say that it never saw
-  // it; it also promises not to run it any more.
-  if (m.Run == One->Attempt.Run)
-    sendUnseenAgain(Entry, *One, Now, Out);
+  // Only the incarnation that the attempt was sent to can tell that it never
+  // received it. With this reply it also commits itself not to run it later.
+  if (m.Run == ActiveCall->Attempt.Run)
+    resendUndelivered(Entry, *ActiveCall, Now, Out);
   else
-    giveUpLost(Entry, *One, Now, Out);
+    abandonLostAttempt(Entry, *ActiveCall, Now, Out);
 }
 
-void agentUnreachable(EntryState &Entry, const HostName &Worker, TimePoint Now,
-                      Effects &Out) {
-  giveUpLostWhere(
+void handleAgentUnreachable(EntryState &Entry, const HostName &Worker,
+                            TimePoint Now, Effects &Out) {
+  abandonLostAttemptsIf(
       Entry,
-      [&](const Call &One) {
-        return One.Attempt.Worker == Worker && repeatable(Entry, One);
+      [&](const Call &ActiveCall) {
+        return ActiveCall.Attempt.Worker == Worker &&
+               isRepeatable(Entry, ActiveCall);
       },
       Now, Out);
-  endSeekingWhere(
-      Entry, [&](const Call &One) { return homeOfCall(Entry, One) == Worker; },
+  endCallsWaitingForHomeIf(
+      Entry,
+      [&](const Call &ActiveCall) {
+        return homeOfCall(Entry, ActiveCall) == Worker;
+      },
       Out);
 }
 
-void endLostAttempts(EntryState &Entry, TimePoint Now, Effects &Out) {
-  giveUpLostWhere(
+void expireLostAttempts(EntryState &Entry, TimePoint Now, Effects &Out) {
+  abandonLostAttemptsIf(
       Entry,
-      [&](const Call &One) {
-        const Millis Wait = repeatable(Entry, One) ? AskRepeatable : AskKeyed;
-        return Now - *One.Attempt.Lost >= Wait;
+      [&](const Call &ActiveCall) {
+        const Millis Wait = isRepeatable(Entry, ActiveCall)
+                                ? LostRepeatableTimeout
+                                : LostKeyedTimeout;
+        return Now - *ActiveCall.Attempt.LostSince >= Wait;
       },
       Now, Out);
-  endSeekingWhere(
-      Entry, [&](const Call &One) { return Now - *One.HomeSought >= HomeWait; },
+  endCallsWaitingForHomeIf(
+      Entry,
+      [&](const Call &ActiveCall) {
+        return Now - *ActiveCall.WaitingForHomeSince >= HomeLinkTimeout;
+      },
       Out);
 }
 
-void endLateCalls(EntryState &Entry, TimePoint Now, Effects &Out) {
-  std::vector<CallId> Late;
-  for (const auto &[Id, One] : Entry.Calls)
-    if (Now >= One.Deadline)
-      Late.push_back(Id);
-  for (const CallId Id : Late) {
-    const Call &One = Entry.Calls.at(Id);
-    const bool Sent = !One.Attempt.Id.Value.empty();
-    if (Sent && !One.Attempt.Lost)
-      Out.push_back(
-          SendMessage{One.Attempt.Link, AttemptCancel{One.Attempt.Id}});
+void endExpiredCalls(EntryState &Entry, TimePoint Now, Effects &Out) {
+  std::vector<CallId> Expired;
+  for (const auto &[Id, ActiveCall] : Entry.Calls)
+    if (Now >= ActiveCall.Deadline)
+      Expired.push_back(Id);
+  for (const CallId Id : Expired) {
+    const Call &ActiveCall = Entry.Calls.at(Id);
+    const bool Sent = !ActiveCall.Attempt.Id.Value.empty();
+    if (Sent && !ActiveCall.Attempt.LostSince)
+      Out.push_back(SendMessage{ActiveCall.Attempt.Link,
+                                AttemptCancel{ActiveCall.Attempt.Id}});
     Failure Why{Sent ? ErrorKind::OutcomeUnknown : ErrorKind::Deadline,
                 "deadline passed",
                 {}};
-    if (One.OnlyAsked)
+    if (ActiveCall.QueryOnly)
       Why = {ErrorKind::Leaving, "the key's home did not answer", {}};
     endCallWithError(Entry, Id, Why, Sent ? Ran::Unknown : Ran::No, Out);
   }
--- a/packages/core/src/attempts/call_func.h
+++ b/packages/core/src/attempts/call_func.h
@@ -1,4 +1,4 @@
-/** @file call_func.h Calls of an entry host: attempts, frames and ends. */
+/** @file call_func.h Attempts, answer frames and final results of calls. */
 
 #ifndef JACINTHPOND_CORE_CALL_FUNC_H
 #define JACINTHPOND_CORE_CALL_FUNC_H
@@ -8,117 +8,128 @@
 namespace jacinthpond {
 
 /**
- * Sends the next attempt of a call, or ends the call when there is no worker.
+ * Sends the next attempt of a call to a worker. Ends the call when no worker
+ * can take it. A keyed call waits for a while when its home has no ready link.
  * @param Entry State to change.
- * @param One The call.
+ * @param ActiveCall The call.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void startAttempt(EntryState &Entry, Call &One, TimePoint Now, Effects &Out);
+void startAttempt(EntryState &Entry, Call &ActiveCall, TimePoint Now,
+                  Effects &Out);
 
 /**
- * Gives a caller its final error and forgets the call.
+ * Sends the final error to the caller and removes the call. Does nothing for an
+ * unknown call.
  * @param Entry State to change.
- * @param Id Which call.
- * @param Why Kind and detail.
- * @param Executed Whether the work ran.
- * @param Out Effects are appended.
+ * @param Id The call.
+ * @param Why Error kind and detail.
+ * @param Executed Whether the attempt that ended ran.
+ * @param Out Effect list to append to.
  */
 void endCallWithError(EntryState &Entry, CallId Id, const Failure &Why,
                       Ran Executed, Effects &Out);
 
 /**
- * The back end has an attempt.
+ * Handles the message that the back end has started an attempt. Ends a resumed
+ * call when the worker has loaded other weights in the meantime.
  * @param Entry State to change.
  * @param m The message.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void attemptBegun(EntryState &Entry, const AttemptBegun &m, Effects &Out);
+void handleAttemptBegun(EntryState &Entry, const AttemptBegun &m, Effects &Out);
 
 /**
- * A piece of an answer arrived.
+ * Passes a part of an answer on to the caller. Drops frames that are late,
+ * repeated or out of order.
  * @param Entry State to change.
  * @param m The message.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void frameArrived(EntryState &Entry, const AnswerFrame &m, Effects &Out);
+void handleAnswerFrame(EntryState &Entry, const AnswerFrame &m, Effects &Out);
 
 /**
- * An answer ended.
+ * Ends a call whose answer is complete, after checking the number of frames and
+ * the digest.
  * @param Entry State to change.
  * @param m The message.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void answerEnded(EntryState &Entry, const AnswerEnd &m, TimePoint Now,
-                 Effects &Out);
+void handleAnswerEnd(EntryState &Entry, const AnswerEnd &m, TimePoint Now,
+                     Effects &Out);
 
 /**
- * An attempt ended without a whole answer.
+ * Handles an attempt that ended without a complete answer: retries the call or
+ * ends it.
  * @param Entry State to change.
  * @param m The message.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void attemptFailed(EntryState &Entry, const AttemptFailed &m, TimePoint Now,
-                   Effects &Out);
+void handleAttemptFailed(EntryState &Entry, const AttemptFailed &m,
+                         TimePoint Now, Effects &Out);
 
 /**
- * The link of open attempts is gone. They are kept, and asked after once the
- * agent is reached again; a silent link says nothing about the work.
+ * Marks the open attempts of a closed link as lost. They are kept, and the
+ * agent is queried about them once it is reachable again: a silent link does
+ * not show whether the work ran.
  * @param Entry State to change.
- * @param Link Which link.
+ * @param Link The link that closed.
  * @param Now Current time.
  */
-void attemptsLost(EntryState &Entry, LinkId Link, TimePoint Now);
+void markAttemptsLost(EntryState &Entry, LinkId Link, TimePoint Now);
 
 /**
- * An agent is reached: asks it what became of attempts whose link was lost,
- * and sends it the keyed calls that wait for it.
+ * Handles a new link to an agent: queries the agent about attempts whose link
+ * was lost, and sends it the keyed calls that wait for it.
  * @param Entry State to change.
- * @param Worker The agent.
- * @param Link The link to it.
+ * @param Worker The agent's worker.
+ * @param Link The link to the agent.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void askAfterAttempts(EntryState &Entry, const HostName &Worker, LinkId Link,
-                      TimePoint Now, Effects &Out);
+void handleAgentReached(EntryState &Entry, const HostName &Worker, LinkId Link,
+                        TimePoint Now, Effects &Out);
 
 /**
- * An agent says what became of an attempt.
+ * Handles an agent's reply to a query about a lost attempt: continues the
+ * attempt, or starts another one when the agent does not know it.
  * @param Entry State to change.
  * @param m The message.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void attemptStatusHeard(EntryState &Entry, const AttemptStatus &m,
-                        TimePoint Now, Effects &Out);
+void handleAttemptStatus(EntryState &Entry, const AttemptStatus &m,
+                         TimePoint Now, Effects &Out);
 
 /**
- * An agent cannot be reached: its repeatable attempts go elsewhere at once.
+ * Handles a failed connection to an agent: retries its lost repeatable attempts
+ * elsewhere at once, and ends the keyed calls that wait for a link to it.
  * @param Entry State to change.
- * @param Worker The agent.
+ * @param Worker The agent's worker.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void agentUnreachable(EntryState &Entry, const HostName &Worker, TimePoint Now,
-                      Effects &Out);
+void handleAgentUnreachable(EntryState &Entry, const HostName &Worker,
+                            TimePoint Now, Effects &Out);
 
 /**
- * Gives up attempts that were asked after for too long.
+ * Retries or ends calls whose attempt has been lost, or whose home has had no
+ * ready link, for longer than the respective timeout.
  * @param Entry State to change.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void endLostAttempts(EntryState &Entry, TimePoint Now, Effects &Out);
+void expireLostAttempts(EntryState &Entry, TimePoint Now, Effects &Out);
 
 /**
  * Ends calls whose deadline has passed.
  * @param Entry State to change.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void endLateCalls(EntryState &Entry, TimePoint Now, Effects &Out);
+void endExpiredCalls(EntryState &Entry, TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/entry.cpp
+++ b/packages/core/src/attempts/entry.cpp
@@ -1,4 +1,4 @@
-/** @file entry.cpp Decisions of an entry host. */
+/** @file entry.cpp Event handlers of an entry. */
 
 #include "attempts/entry_func.h"
 
@@ -25,11 +25,14 @@
 
 namespace {
 
-/** Longest wait for a home that is asked about a booking. */
-constexpr Millis LongestAsking{1000};
+/** Longest wait for the home of a keyed call that a stopping entry refuses. */
+constexpr Millis MaxHomeQueryTime{1000};
 
-/** Keeps links to the agents and entries that the document calls for. */
-void followDocument(EntryState &Entry, TimePoint Now, Effects &Out) {
+/**
+ * Opens and closes links to match the document in force. Until the view is
+ * fresh, the seed peers of the settings are kept too.
+ */
+void updateWantedPeers(EntryState &Entry, TimePoint Now, Effects &Out) {
   std::vector<PeerAddress> Peers;
   if (!viewIsFresh(Entry.Fleet))
     Peers = seedPeers(Entry.Config);
@@ -38,23 +41,27 @@
       Entry.Fleet.Self);
   Peers.insert(Peers.end(), Published.begin(), Published.end());
   for (const LinkId Link : wantPeers(Entry.Fleet, Peers, Out))
-    attemptsLost(Entry, Link, Now);
+    markAttemptsLost(Entry, Link, Now);
 }
 
-/** Ends what was open before a pause. */
-void noticePause(EntryState &Entry, TimePoint Now, Effects &Out) {
+/**
+ * Drops all links when this process was paused, and marks their attempts as
+ * lost.
+ */
+void handlePause(EntryState &Entry, TimePoint Now, Effects &Out) {
   for (const LinkId Link : dropLinksAfterPause(Entry.Fleet, Now, Out))
-    attemptsLost(Entry, Link, Now);
+    markAttemptsLost(Entry, Link, Now);
 }
 
-/** Notes that the configuration service was lost or is back. */
-void noteService(const EntryState &Entry, const Outcome<std::string> &Read,
-                 TimePoint Now, Effects &Out) {
+/** Logs that the configuration service was lost or is back. */
+void logConfigServiceChange(const EntryState &Entry,
+                            const Outcome<std::string> &Read, TimePoint Now,
+                            Effects &Out) {
   const Join &Joining = Entry.Fleet.Joining;
   const bool WasLost = Joining.ReadFailures > 0;
   if (Read.Value.has_value() == !WasLost)
     return;
-  const std::string Silent =
+  const std::string SilentMillis =
       Joining.ServiceHeard
           ? std::to_string(toMillis(Now - *Joining.ServiceHeard).count())
           : "-";
@@ -63,18 +70,20 @@
     Out.push_back(LogNote{LogPart::Config, LogLevel::Warn,
                           "event=dependency_lost name=configuration_service "
                           "why=\"" +
-                              Read.Why.Detail + "\" silent_ms=" + Silent +
+                              Read.Why.Detail + "\" silent_ms=" + SilentMillis +
                               " version=" + Version});
   else
     Out.push_back(LogNote{LogPart::Config, LogLevel::Info,
                           "event=dependency_back name=configuration_service "
                           "failures=" +
                               std::to_string(Joining.ReadFailures) +
-                              " silent_ms=" + Silent + " version=" + Version});
+                              " silent_ms=" + SilentMillis +
+                              " version=" + Version});
 }
 
-/** Gives the peer of a link that was asked for and never came about. */
-std::optional<HostName> peerOpening(const Membership &Fleet, LinkId Link) {
+/** Finds the peer of a link that is still being opened. */
+std::optional<HostName> peerOfOpeningLink(const Membership &Fleet,
+                                          LinkId Link) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end() || it->second.State != LinkState::Opening)
     return std::nullopt;
@@ -86,19 +95,21 @@
 }
 
 /**
- * Says whether the home of a booking that is refused for leaving is asked about
- * it. The entry alone cannot know whether an earlier try of the key ran, and
- * would leave the caller with a booking to look up. Without a token the home
- * would bar the key for seconds, and the caller could not go on elsewhere.
+ * Says whether a stopping entry may ask the home about a keyed call that it
+ * refuses. The entry alone cannot know whether an earlier call with the key
+ * ran, and would have to report "unknown". Without a token the home would
+ * refuse the key for seconds, and the caller could not continue at another
+ * entry.
  */
-bool mayAskHome(const EntryState &Entry, const CallRequest &Asked,
-                TimePoint Now) {
-  if (Now >= Entry.AskHomesUntil || !Entry.View.InForce ||
+bool mayQueryHome(const EntryState &Entry, const CallRequest &Request,
+                  TimePoint Now) {
+  if (Now >= Entry.HomeQueriesUntil || !Entry.View.InForce ||
       !viewIsFresh(Entry.Fleet))
     return false;
-  const WorkClass *Class = findClass(*Entry.View.InForce, Asked.Class);
-  return Class != nullptr && !Class->Repeatable && !Asked.Key.Value.empty() &&
-         !Asked.Token.empty() && tokenFits(Asked.Token, Asked.Class);
+  const WorkClass *Class = findClass(*Entry.View.InForce, Request.Class);
+  return Class != nullptr && !Class->Repeatable && !Request.Key.Value.empty() &&
+         !Request.Token.empty() &&
+         isTokenAcceptable(Request.Token, Request.Class);
 }
 
 } // namespace
@@ -112,70 +123,73 @@
   return Entry;
 }
 
-void entryCall(EntryState &Entry, const CallRequest &Asked, TimePoint Now,
+void entryCall(EntryState &Entry, const CallRequest &Request, TimePoint Now,
                Effects &Out) {
-  noticePause(Entry, Now, Out);
+  handlePause(Entry, Now, Out);
   ++Entry.Counters.Calls;
-  Call One;
-  One.Asked = Asked;
-  One.Arrived = Now;
-  Call &Kept = Entry.Calls[Asked.Call] = One;
-  Kept.OnlyAsked = Entry.Stopping && mayAskHome(Entry, Asked, Now);
-  if (Entry.Stopping && !Kept.OnlyAsked) {
-    endCallWithError(Entry, Asked.Call, {ErrorKind::Leaving, "", {}}, Ran::No,
+  Call ActiveCall;
+  ActiveCall.Received = Request;
+  ActiveCall.Arrived = Now;
+  Call &Current = Entry.Calls[Request.Call] = ActiveCall;
+  Current.QueryOnly = Entry.Stopping && mayQueryHome(Entry, Request, Now);
+  if (Entry.Stopping && !Current.QueryOnly) {
+    endCallWithError(Entry, Request.Call, {ErrorKind::Leaving, "", {}}, Ran::No,
                      Out);
     return;
   }
   if (!Entry.View.InForce || !viewIsFresh(Entry.Fleet)) {
-    endCallWithError(Entry, Asked.Call, {ErrorKind::StaleView, "", {}}, Ran::No,
-                     Out);
+    endCallWithError(Entry, Request.Call, {ErrorKind::StaleView, "", {}},
+                     Ran::No, Out);
     return;
   }
-  const WorkClass *Class = findClass(*Entry.View.InForce, Asked.Class);
+  const WorkClass *Class = findClass(*Entry.View.InForce, Request.Class);
   if (Class == nullptr) {
-    endCallWithError(Entry, Asked.Call,
-                     {ErrorKind::NotFound, "class " + Asked.Class.Value, {}},
+    endCallWithError(Entry, Request.Call,
+                     {ErrorKind::NotFound, "class " + Request.Class.Value, {}},
                      Ran::No, Out);
     return;
   }
-  if (!Class->Repeatable && Asked.Key.Value.empty()) {
+  if (!Class->Repeatable && Request.Key.Value.empty()) {
     endCallWithError(
-        Entry, Asked.Call,
+        Entry, Request.Call,
         {ErrorKind::BadRequest, "this class needs an Idempotency-Key", {}},
         Ran::No, Out);
     return;
   }
-  if (!Class->Repeatable && !tokenFits(Asked.Token, Asked.Class)) {
+  if (!Class->Repeatable && !isTokenAcceptable(Request.Token, Request.Class)) {
     endCallWithError(
-        Entry, Asked.Call,
+        Entry, Request.Call,
         {ErrorKind::BadRequest, "X-Home-Token is cut or of another class", {}},
         Ran::No, Out);
     return;
   }
-  // Only a key that its home watches over is passed on.
+  // Keys of repeatable classes have no home and are not passed on.
   if (Class->Repeatable)
-    Kept.Asked.Key = IdempotencyKey{};
-  earnRetry(Entry.Retries, Asked.Class, Asked.Tenant, Now);
+    Current.Received.Key = IdempotencyKey{};
+  creditFirstAttempt(Entry.Retries, Request.Class, Request.Tenant, Now);
   const Millis Longest = Class->Deadline;
-  const Millis Wanted =
-      Asked.Deadline.count() > 0 ? std::min(Asked.Deadline, Longest) : Longest;
-  Kept.Deadline = Now + Wanted;
-  if (Kept.OnlyAsked)
-    Kept.Deadline = std::min(
-        {Kept.Deadline, Now + Duration(LongestAsking), Entry.AskHomesUntil});
-  startAttempt(Entry, Kept, Now, Out);
+  const Millis Wanted = Request.Deadline.count() > 0
+                            ? std::min(Request.Deadline, Longest)
+                            : Longest;
+  Current.Deadline = Now + Wanted;
+  if (Current.QueryOnly)
+    Current.Deadline =
+        std::min({Current.Deadline, Now + Duration(MaxHomeQueryTime),
+                  Entry.HomeQueriesUntil});
+  startAttempt(Entry, Current, Now, Out);
 }
 
-void entryCallGone(EntryState &Entry, CallId Gone, Effects &Out) {
-  const auto it = Entry.Calls.find(Gone);
+void entryCallGone(EntryState &Entry, CallId Abandoned, Effects &Out) {
+  const auto it = Entry.Calls.find(Abandoned);
   if (it == Entry.Calls.end())
     return;
   const OpenAttempt &Attempt = it->second.Attempt;
   if (!Attempt.Id.Value.empty())
     Out.push_back(SendMessage{Attempt.Link, AttemptCancel{Attempt.Id}});
-  Effects Unheard; // The caller is gone: its error has nowhere to go.
-  endCallWithError(Entry, Gone, {ErrorKind::OutcomeUnknown, "caller gone", {}},
-                   Ran::Unknown, Unheard);
+  Effects Discarded; // The caller is gone and cannot receive the error.
+  endCallWithError(Entry, Abandoned,
+                   {ErrorKind::OutcomeUnknown, "caller gone", {}}, Ran::Unknown,
+                   Discarded);
 }
 
 void entryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
@@ -185,94 +199,99 @@
 
 void entryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out) {
-  const std::optional<HostName> Refused = peerOpening(Entry.Fleet, Link);
+  const std::optional<HostName> Refused = peerOfOpeningLink(Entry.Fleet, Link);
   noteLinkLost(Entry.Fleet, Link, Now, Out);
   linkClosed(Entry.Fleet, Link, Now);
-  attemptsLost(Entry, Link, Now);
+  markAttemptsLost(Entry, Link, Now);
   if (Refused)
-    agentUnreachable(Entry, *Refused, Now, Out);
+    handleAgentUnreachable(Entry, *Refused, Now, Out);
 }
 
 void entryMessage(EntryState &Entry, LinkId Link, const Message &m,
                   TimePoint Now, Effects &Out) {
-  noticePause(Entry, Now, Out);
+  handlePause(Entry, Now, Out);
   if (!linkHeard(Entry.Fleet, Link, Now))
     return;
-  noteLoad(Entry.Fleet, Link, m, Now);
-  const FleetNews News =
+  recordReportedLoad(Entry.Fleet, Link, m, Now);
+  const FleetNews NewsKind =
       fleetMessage(Entry.View, Entry.Fleet, Link, m, Now, Out);
-  if (News == FleetNews::NewDocument ||
-      (News == FleetNews::NewEntry && Entry.View.InForce))
-    followDocument(Entry, Now, Out);
+  if (NewsKind == FleetNews::NewDocument ||
+      (NewsKind == FleetNews::NewEntry && Entry.View.InForce))
+    updateWantedPeers(Entry, Now, Out);
   if (std::holds_alternative<Hello>(m))
     tellSuspects(Entry.Suspects, Link, Now, Out);
   if (const auto *Peer = std::get_if<Hello>(&m))
-    askAfterAttempts(Entry, Peer->Name, Link, Now, Out);
-  if (News != FleetNews::NotMine)
+    handleAgentReached(Entry, Peer->Name, Link, Now, Out);
+  if (NewsKind != FleetNews::NotMine)
     return;
-  std::visit(
-      Overloaded{
-          [&](const AttemptBegun &Begun) { attemptBegun(Entry, Begun, Out); },
-          [&](const AnswerFrame &Frame) { frameArrived(Entry, Frame, Out); },
-          [&](const AnswerEnd &End) { answerEnded(Entry, End, Now, Out); },
-          [&](const AttemptFailed &Failed) {
-            attemptFailed(Entry, Failed, Now, Out);
-          },
-          [&](const SuspectNotice &Notice) {
-            if (noteSuspect(Entry.Suspects, Notice, Now))
-              spreadNotice(Entry.Fleet, Notice, Role::Entry, Out);
-          },
-          [&](const AttemptStatus &Status) {
-            attemptStatusHeard(Entry, Status, Now, Out);
-          },
-          [](const auto &) {
-            // Meant for agents; an entry that gets one has nothing to do.
-          }},
-      m);
+  std::visit(Overloaded{[&](const AttemptBegun &Begun) {
+                          handleAttemptBegun(Entry, Begun, Out);
+                        },
+                        [&](const AnswerFrame &Frame) {
+                          handleAnswerFrame(Entry, Frame, Out);
+                        },
+                        [&](const AnswerEnd &End) {
+                          handleAnswerEnd(Entry, End, Now, Out);
+                        },
+                        [&](const AttemptFailed &Failed) {
+                          handleAttemptFailed(Entry, Failed, Now, Out);
+                        },
+                        [&](const SuspectNotice &Notice) {
+                          if (noteSuspect(Entry.Suspects, Notice, Now))
+                            spreadNotice(Entry.Fleet, Notice, Role::Entry, Out);
+                        },
+                        [&](const AttemptStatus &Status) {
+                          handleAttemptStatus(Entry, Status, Now, Out);
+                        },
+                        [](const auto &) {
+                          // Messages for agents are ignored.
+                        }},
+             m);
 }
 
 void entryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
                      TimePoint Began, TimePoint Now, Effects &Out) {
-  noticePause(Entry, Now, Out);
-  noteService(Entry, Read, Now, Out);
+  handlePause(Entry, Now, Out);
+  logConfigServiceChange(Entry, Read, Now, Out);
   if (!Read.Value || Read.Value->empty()) {
     readEnded(Entry.Fleet, Read.Value.has_value(), true, Began, Now);
     return;
   }
-  const OfferResult Became =
+  const OfferResult Offer =
       takeDocument(Entry.View, Entry.Fleet, *Read.Value, Now, Out);
   readEnded(Entry.Fleet, true,
-            Became == OfferResult::Accepted || Became == OfferResult::Same,
-            Began, Now);
-  if (Became == OfferResult::Accepted)
-    followDocument(Entry, Now, Out);
+            Offer == OfferResult::Accepted || Offer == OfferResult::Same, Began,
+            Now);
+  if (Offer == OfferResult::Accepted)
+    updateWantedPeers(Entry, Now, Out);
 }
 
 void entryHostsRead(EntryState &Entry, const std::vector<HostName> &Leaving,
                     TimePoint Now, Effects &Out) {
-  noticePause(Entry, Now, Out);
+  handlePause(Entry, Now, Out);
   hostListRead(Entry.Fleet, Leaving, Now, Out);
 }
 
 void entryTick(EntryState &Entry, TimePoint Now, Effects &Out) {
-  noticePause(Entry, Now, Out);
+  handlePause(Entry, Now, Out);
   const bool WasFresh = viewIsFresh(Entry.Fleet);
   for (const LinkId Link : fleetTick(Entry.View, Entry.Fleet, Now, Out)) {
-    Out.push_back(
-        LogNote{LogPart::Links, LogLevel::Warn,
-                "Link " + std::to_string(Link.Value) + " is silent."});
-    attemptsLost(Entry, Link, Now);
+    Out.push_back(LogNote{LogPart::Links, LogLevel::Warn,
+                          "Link " + std::to_string(Link.Value) +
+                              " timed out: nothing was received."});
+    markAttemptsLost(Entry, Link, Now);
   }
-  if (!WasFresh && viewIsFresh(Entry.Fleet)) // Seeds have done their work.
-    followDocument(Entry, Now, Out);
-  endLateCalls(Entry, Now, Out);
+  if (!WasFresh && viewIsFresh(Entry.Fleet)) // Drops the seed peers.
+    updateWantedPeers(Entry, Now, Out);
+  endExpiredCalls(Entry, Now, Out);
   forgetSuspects(Entry.Suspects, Now);
-  endLostAttempts(Entry, Now, Out);
+  expireLostAttempts(Entry, Now, Out);
 }
 
-void entryStop(EntryState &Entry, TimePoint Now, Millis Asking, Effects &Out) {
+void entryStop(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
+               Effects &Out) {
   Entry.Stopping = true;
-  Entry.AskHomesUntil = Now + Asking;
+  Entry.HomeQueriesUntil = Now + HomeQueryTime;
   Entry.Fleet.Leaving = true;
   sendHeartbeats(Entry.Fleet, Entry.View, Now, Out);
 }
@@ -280,7 +299,7 @@
 void entryCutOff(EntryState &Entry, Effects &Out) {
   std::vector<CallId> Open;
   Open.reserve(Entry.Calls.size());
-  for (const auto &[Id, One] : Entry.Calls)
+  for (const auto &[Id, ActiveCall] : Entry.Calls)
     Open.push_back(Id);
   for (const CallId Id : Open)
     endCallWithError(Entry, Id,
--- a/packages/core/src/attempts/entry_func.h
+++ b/packages/core/src/attempts/entry_func.h
@@ -1,4 +1,8 @@
-/** @file entry_func.h Decisions of an entry host. */
+/** @file entry_func.h Event handlers of an entry.
+ *
+ * They change its state and append effects, such as messages to send, which the
+ * process then carries out.
+ */
 
 #ifndef JACINTHPOND_CORE_ENTRY_FUNC_H
 #define JACINTHPOND_CORE_ENTRY_FUNC_H
@@ -9,106 +13,113 @@
 namespace jacinthpond {
 
 /**
- * Sets up the state of a new process.
+ * Creates the state of an entry that starts, with links wanted to its seed
+ * peers.
  * @param Config Its settings.
- * @param Run Its random incarnation.
+ * @param Run Random incarnation of this process.
  * @param Now Current time.
  * @return The state.
  */
 EntryState makeEntry(const Settings &Config, Incarnation Run, TimePoint Now);
 
 /**
- * A caller asks for something.
+ * Handles a new request from a caller: refuses it or starts its first attempt.
  * @param Entry State to change.
- * @param Asked The request.
+ * @param Request The request.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
-void entryCall(EntryState &Entry, const CallRequest &Asked, TimePoint Now,
+void entryCall(EntryState &Entry, const CallRequest &Request, TimePoint Now,
                Effects &Out);
 
 /**
- * A caller went away before its final answer.
+ * Cancels a call whose caller disconnected before its final answer. The caller
+ * gets no error.
  * @param Entry State to change.
- * @param Gone Whose.
- * @param Out Effects are appended.
+ * @param Abandoned The call.
+ * @param Out Effect list to append to.
  */
-void entryCallGone(EntryState &Entry, CallId Gone, Effects &Out);
+void entryCallGone(EntryState &Entry, CallId Abandoned, Effects &Out);
 
 /**
- * A link works.
+ * Handles a link that has opened: sends the first message on it.
  * @param Entry State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out);
 
 /**
- * A link is gone.
+ * Handles a link that has closed or could not be opened: marks its attempts as
+ * lost.
  * @param Entry State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out);
 
 /**
- * A message arrived from a peer.
+ * Handles a message from a peer.
  * @param Entry State to change.
- * @param Link Over which link.
+ * @param Link Link that it arrived on.
  * @param m The message.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryMessage(EntryState &Entry, LinkId Link, const Message &m,
                   TimePoint Now, Effects &Out);
 
 /**
- * A read of the configuration service ended.
+ * Handles a finished read of the configuration service: applies the document,
+ * and logs that the service was lost or is back.
  * @param Entry State to change.
- * @param Read The document, empty text for no news, or why none came.
+ * @param Read The document, empty text when it has not changed, or the failure.
  * @param Began When the read began.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
                      TimePoint Began, TimePoint Now, Effects &Out);
 
 /**
- * The platform's list of hosts was read.
+ * Handles a new host list from the platform.
  * @param Entry State to change.
- * @param Leaving Hosts that it names as leaving.
+ * @param Leaving Hosts that the platform lists as leaving.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryHostsRead(EntryState &Entry, const std::vector<HostName> &Leaving,
                     TimePoint Now, Effects &Out);
 
 /**
- * Time passed.
+ * Runs the periodic work: heartbeats, links that time out, deadlines of calls,
+ * and expiry of suspects and lost attempts.
  * @param Entry State to change.
  * @param Now Current time.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryTick(EntryState &Entry, TimePoint Now, Effects &Out);
 
 /**
- * The process is to end gracefully: new requests are refused, peers are told.
+ * Begins a graceful shutdown: refuses new requests and tells the peers.
  * @param Entry State to change.
  * @param Now Current time.
- * @param Asking How long homes are asked about the bookings that are refused.
- * @param Out Effects are appended.
+ * @param HomeQueryTime How long homes are asked about keyed calls that are
+ * refused.
+ * @param Out Effect list to append to.
  */
-void entryStop(EntryState &Entry, TimePoint Now, Millis Asking, Effects &Out);
+void entryStop(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
+               Effects &Out);
 
 /**
- * The time limit of a graceful shutdown has passed: every request gets its
- * final answer now.
+ * Ends all open calls with an error when the time limit of a graceful shutdown
+ * has passed.
  * @param Entry State to change.
- * @param Out Effects are appended.
+ * @param Out Effect list to append to.
  */
 void entryCutOff(EntryState &Entry, Effects &Out);
 
--- a/packages/core/src/attempts/entry_type.h
+++ b/packages/core/src/attempts/entry_type.h
@@ -1,4 +1,4 @@
-/** @file entry_type.h State of an entry host. */
+/** @file entry_type.h Calls and state of an entry. */
 
 #ifndef JACINTHPOND_CORE_ENTRY_TYPE_H
 #define JACINTHPOND_CORE_ENTRY_TYPE_H
@@ -17,72 +17,73 @@
 
 namespace jacinthpond {
 
-/** A request as it came from a caller. */
+/** A request as received from a caller. */
 struct CallRequest {
-  CallId Call;        ///< Number given by the traffic side.
-  RequestId Request;  ///< For logs and answers.
+  CallId Call;        ///< Assigned by the traffic thread.
+  RequestId Request;  ///< Request id, for logs and answers.
   ClassName Class;    ///< Class of work.
-  TenantName Tenant;  ///< Whose request it is.
-  IdempotencyKey Key; ///< Empty: none given.
-  std::string Token;  ///< Home token; empty: none given.
-  std::string Caller; ///< Spreads callers over the entries.
-  std::string Body;   ///< As the caller sent it.
-  Millis Deadline{0}; ///< 0: the class's.
+  TenantName Tenant;  ///< Workspace of the caller.
+  IdempotencyKey Key; ///< Empty when none was sent.
+  std::string Token;  ///< Home token; empty when none was sent.
+  std::string Caller; ///< Caller id, to spread callers over entries.
+  std::string Body;   ///< As sent by the caller.
+  Millis Deadline{0}; ///< 0 for the deadline of the class.
 };
 
-/** The attempt of a call that is under way. */
+/** The open attempt of a call. */
 struct OpenAttempt {
-  AttemptId Id;                  ///< Unique for ever.
-  HostName Worker;               ///< Where it was sent.
-  LinkId Link;                   ///< Over which link.
-  Incarnation Run;               ///< Incarnation of the agent it was sent to.
-  bool Begun = false;            ///< The back end has it.
-  std::optional<TimePoint> Lost; ///< Since when its link is gone.
-  uint64_t FirstFrame = 0;       ///< Sequence of its first frame.
-  size_t TextOffset = 0; ///< Where its first frame stands in Call::Text.
+  AttemptId Id;       ///< Never used again; empty when no attempt is open.
+  HostName Worker;    ///< Worker that it was sent to.
+  LinkId Link;        ///< Link that it was sent over; none while lost.
+  Incarnation Run;    ///< Incarnation of the agent it was sent to.
+  bool Begun = false; ///< Started by the back end.
+  std::optional<TimePoint> LostSince; ///< Set while its link is lost.
+  uint64_t FirstFrame = 0;            ///< Sequence of its first frame.
+  size_t TextOffset = 0; ///< Start of its first frame in Call::Text.
 };
 
-/** A caller's request until its final answer. */
+/** A request that has not had its final answer. */
 struct Call {
-  CallRequest Asked;           ///< What was asked.
-  TimePoint Arrived;           ///< When it came.
-  TimePoint Deadline;          ///< When the caller has no more use for it.
-  OpenAttempt Attempt;         ///< The attempt under way.
-  Digest Weights;              ///< Weights that began the answer.
-  uint64_t NextFrame = 0;      ///< Sequence of the next frame wanted.
-  std::string Text;            ///< The answer so far.
-  uint32_t Tries = 0;          ///< Attempts so far.
-  std::vector<HostName> Tried; ///< Workers that refused or failed it.
-  Ran Executed = Ran::No;      ///< Whether any ended attempt ran.
-  bool HomeSaidNo = false;     ///< The home vouches that the key did not run.
-  std::optional<TimePoint> HomeSought; ///< Since when its home is waited for.
-  bool OnlyAsked = false; ///< Not to run: its home says whether the key did.
+  CallRequest Received;        ///< The request as received.
+  TimePoint Arrived;           ///< When the request arrived.
+  TimePoint Deadline;          ///< When the call is given up.
+  OpenAttempt Attempt;         ///< The open attempt, if any.
+  Digest Weights;              ///< Weights that the answer was started with.
+  uint64_t NextFrame = 0;      ///< Sequence of the next frame expected.
+  std::string Text;            ///< Answer received so far.
+  uint32_t Tries = 0;          ///< Attempts started so far.
+  std::vector<HostName> Tried; ///< Workers whose attempt failed or was refused.
+  Ran Executed = Ran::No;      ///< Whether any attempt that has ended ran.
+  bool HomeConfirmedNotRun = false; ///< Its home says that the key did not run.
+  /// Set while a keyed call waits for a link to its home.
+  std::optional<TimePoint> WaitingForHomeSince;
+  bool QueryOnly = false; ///< Only asks the home whether the key ran.
 };
 
-/** Counters of an entry; read by metrics and status. */
+/** Counters of an entry, for metrics and status. */
 struct EntryCounters {
-  uint64_t Calls = 0;                   ///< Requests taken.
-  uint64_t Retries = 0;                 ///< Attempts after the first.
-  uint64_t Resumes = 0;                 ///< Answers gone on with elsewhere.
-  uint64_t Recovered = 0;               ///< Attempts found again at an agent.
-  uint64_t DroppedFrames = 0;           ///< Late, crossed or repeated frames.
+  uint64_t Calls = 0;         ///< Requests received.
+  uint64_t Retries = 0;       ///< Attempts after the first.
+  uint64_t Resumes = 0;       ///< Partial answers resumed on another worker.
+  uint64_t Recovered = 0;     ///< Lost attempts that the agent still had.
+  uint64_t DroppedFrames = 0; ///< Late, reordered or repeated messages.
   std::map<ErrorKind, uint64_t> Errors; ///< Final errors of each kind.
 };
 
-/** All state of an entry host, owned by its control thread. */
+/** State of an entry, owned by its control thread. */
 struct EntryState {
   Settings Config;                      ///< Settings of this process.
-  ConfigView View;                      ///< Published configuration.
+  ConfigView View;                      ///< Configuration in force.
   Membership Fleet;                     ///< Links to agents and entries.
   std::map<CallId, Call> Calls;         ///< Requests without a final answer.
-  std::map<AttemptId, CallId> Attempts; ///< Attempts under way.
-  std::map<HostName, uint32_t> OpenAt;  ///< Attempts open at each worker.
-  uint64_t NextAttempt = 1;             ///< Part of the next attempt id.
-  Quarantine Suspects;                  ///< Requests that were at a death.
-  RetryBudget Retries;                  ///< Retries that may still be made.
-  bool Stopping = false;                ///< No new requests are taken.
-  TimePoint AskHomesUntil;              ///< While stopping.
-  EntryCounters Counters;               ///< What happened so far.
+  std::map<AttemptId, CallId> Attempts; ///< Open attempts.
+  std::map<HostName, uint32_t> OpenByWorker; ///< Attempts open at each worker.
+  uint64_t NextAttempt = 1; ///< Number for the next attempt id.
+  Quarantine Suspects;   ///< Requests that were running when back ends failed.
+  RetryBudget Retries;   ///< Remaining retry budget.
+  bool Stopping = false; ///< New requests are refused.
+  TimePoint HomeQueriesUntil; ///< While stopping: end of QueryOnly calls.
+  EntryCounters Counters;     ///< Totals since the start.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/home_token.cpp
+++ b/packages/core/src/attempts/home_token.cpp
@@ -1,4 +1,4 @@
-/** @file home_token.cpp Home tokens, and the home of a key. */
+/** @file home_token.cpp Home tokens, and the choice of the home of a key. */
 
 #include "attempts/home_token_func.h"
 
@@ -19,16 +19,17 @@
 
 /** Hex digits of the checksum at the end of a token. */
 constexpr size_t ChecksumDigits = 16;
-/** Lists within lists of a token: itself, its homes, one home. */
-constexpr size_t TokenDepth = 3;
+/** Nested lists in an encoded token: the token, its homes, one home. */
+constexpr size_t MaxTokenDepth = 3;
 
-/** Text that places a key; equal at every process. */
-std::string placeOf(const KeyName &Key) {
+/** Text of a key for rendezvous hashing; the same at every process. */
+std::string rendezvousKey(const KeyName &Key) {
   const auto &[Class, Tenant, Name] = Key;
   return Json({Class.Value, Tenant.Value, Name.Value})
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
+/** Encodes bytes as lower-case hex digits. */
 std::string toHex(std::string_view Bytes) {
   static constexpr std::string_view Digits = "0123456789abcdef";
   std::string Hex;
@@ -40,13 +41,14 @@
   return Hex;
 }
 
+/** Value of a lower-case hex digit; -1 for any other character. */
 int hexValue(char c) {
   if (c >= '0' && c <= '9')
     return c - '0';
   return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 
-/** Gives the bytes behind hex digits; empty for anything else. */
+/** Decodes lower-case hex digits; empty for any other text. */
 std::string fromHex(std::string_view Hex) {
   std::string Bytes;
   if (Hex.size() % 2 != 0)
@@ -61,19 +63,20 @@
   return Bytes;
 }
 
+/** Start of the SHA-256 digest in hex; detects damage, not forgery. */
 std::string checksum(std::string_view Bytes) {
   return sha256(Bytes).Value.substr(0, ChecksumDigits);
 }
 
-/** Reads the homes; false when one is not as writeToken() makes it. */
+/** Decodes the homes of a token; false when they are malformed. */
 bool readHomes(const Json &Rows, HomeToken &Token) {
   if (!Rows.is_array() || Rows.empty() || Rows.size() > MaxTokenHomes)
     return false;
   for (const Json &Row : Rows) {
-    const bool Right = Row.is_array() && Row.size() == 3 &&
-                       Row[0].is_string() && Row[1].is_number_unsigned() &&
-                       Row[2].is_number_unsigned();
-    if (!Right)
+    const bool IsValid = Row.is_array() && Row.size() == 3 &&
+                         Row[0].is_string() && Row[1].is_number_unsigned() &&
+                         Row[2].is_number_unsigned();
+    if (!IsValid)
       return false;
     Token.Homes.push_back({HostName{Row[0].get<std::string>()},
                            Incarnation{Row[1].get<uint64_t>()},
@@ -95,37 +98,37 @@
 }
 
 Result<HomeToken> readToken(std::string_view Text) {
-  const auto Bad = [] {
+  const auto invalidToken = [] {
     return fail(ErrorKind::BadRequest, "X-Home-Token is cut or changed");
   };
   if (Text.size() <= ChecksumDigits)
-    return Bad();
+    return invalidToken();
   const std::string Bytes =
       fromHex(Text.substr(0, Text.size() - ChecksumDigits));
   if (Bytes.empty() ||
       checksum(Bytes) != Text.substr(Text.size() - ChecksumDigits))
-    return Bad();
-  // Anybody can make a token with a right checksum, so its bytes are hostile.
-  const Json Value = readCbor(Bytes, {TokenDepth, MaxTokenHomes});
-  const bool Right = Value.is_array() && Value.size() == 3 &&
-                     Value[0].is_string() && Value[1].is_number_unsigned();
+    return invalidToken();
+  // Anyone can make a token with a valid checksum, so its content is untrusted.
+  const Json Value = readCbor(Bytes, {MaxTokenDepth, MaxTokenHomes});
+  const bool IsValid = Value.is_array() && Value.size() == 3 &&
+                       Value[0].is_string() && Value[1].is_number_unsigned();
   HomeToken Token;
-  if (!Right || !readHomes(Value[2], Token))
-    return Bad();
+  if (!IsValid || !readHomes(Value[2], Token))
+    return invalidToken();
   Token.Class.Value = Value[0].get<std::string>();
   Token.Serial = Value[1].get<uint64_t>();
   return Token;
 }
 
-const TokenHome &homeInToken(const HomeToken &Token, const KeyName &Key) {
+const TokenHome &homeFromToken(const HomeToken &Token, const KeyName &Key) {
   std::vector<HostName> Names;
   std::ranges::transform(Token.Homes, std::back_inserter(Names),
                          &TokenHome::Name);
-  const HostName First = rendezvousOrder(placeOf(Key), Names).front();
+  const HostName First = rendezvousOrder(rendezvousKey(Key), Names).front();
   return *std::ranges::find(Token.Homes, First, &TokenHome::Name);
 }
 
-HostName homeByList(const Document &Doc, const KeyName &Key) {
+HostName homeFromDocument(const Document &Doc, const KeyName &Key) {
   const WorkClass *Class = findClass(Doc, std::get<ClassName>(Key));
   if (Class == nullptr)
     return {};
@@ -135,7 +138,7 @@
       Names.push_back(Host->Name);
   if (Names.empty())
     return {};
-  return rendezvousOrder(placeOf(Key), Names).front();
+  return rendezvousOrder(rendezvousKey(Key), Names).front();
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/home_token_func.h
+++ b/packages/core/src/attempts/home_token_func.h
@@ -1,13 +1,17 @@
-/** @file home_token_func.h Home tokens, and the home of a key.
+/** @file home_token_func.h Home tokens, and the choice of the home of a key.
  *
- * Two ways to find the one worker that may run a key:
- * - By token: the caller carries the homes with their incarnations. Costs one
- *   more question before the first try; needs no clock and no agreement; keys
- *   run again seconds after a home was replaced, under a new token.
- * - By the published list: no question; but a home that restarted, or got its
- *   keys by a new list, must wait out the retry horizon, and safety rests on
- *   callers that stop repeating in time.
- * A shared store or a consensus group would need neither; there is none.
+ * The home of an idempotency key is the only worker that may run calls with
+ * that key. It is found in one of two ways:
+ * - By token: the caller sends a token that lists the possible homes with their
+ *   incarnations. This takes one more request before the first call, but relies
+ *   neither on clocks nor on agreement between processes. When a home is
+ *   replaced, new calls with a new token run within seconds.
+ * - By document: the home follows from the workers that the document lists.
+ *   This takes no extra request, but a home that has restarted, or that became
+ *   the home by a new document, must wait until the retry horizon has passed,
+ *   and safety depends on callers that stop repeating in time.
+ *
+ * A shared store or a consensus group would avoid both, but there is none.
  */
 
 #ifndef JACINTHPOND_CORE_HOME_TOKEN_FUNC_H
@@ -23,42 +27,43 @@
 
 namespace jacinthpond {
 
-/** Names a key among all classes and tenants. */
+/** Identifies a key among all classes and workspaces. */
 using KeyName = std::tuple<ClassName, TenantName, IdempotencyKey>;
 
-/** Homes in a token at most; bounds its length in a header. */
+/** Limit of homes in a token; bounds the length of its header. */
 constexpr size_t MaxTokenHomes = 8;
 
 /**
- * Writes a token as text that fits into a header.
+ * Encodes a token as text for a header field.
  * @param Token The token.
- * @return Text that readToken() takes.
+ * @return Text that readToken() decodes.
  */
 std::string writeToken(const HomeToken &Token);
 
 /**
- * Reads a token as a caller sent it.
- * @param Text Not trusted.
- * @return The token, or BadRequest for one that is cut or changed.
+ * Decodes a token that a caller sent.
+ * @param Text Untrusted text.
+ * @return The token; BadRequest when it is truncated or altered.
  */
 Result<HomeToken> readToken(std::string_view Text);
 
 /**
- * Gives the only process that may run a key under a token.
+ * Gives the only process that may run a key that comes with a token.
  * @param Token The token.
- * @param Key Class, tenant and key.
- * @return One of the token's homes.
+ * @param Key Class, workspace and key.
+ * @return One of the homes of the token.
  */
-const TokenHome &homeInToken(const HomeToken &Token, const KeyName &Key);
+const TokenHome &homeFromToken(const HomeToken &Token, const KeyName &Key);
 
 /**
- * Gives the home of a key that came without a token. It follows published data
- * only: two entries that disagree on who is alive agree on the home.
+ * Gives the home of a key that comes without a token. It depends on the
+ * document only, so that entries that disagree on which workers are alive agree
+ * on it.
  * @param Doc The document in force.
- * @param Key Class, tenant and key.
+ * @param Key Class, workspace and key.
  * @return The worker; empty when the class has none.
  */
-HostName homeByList(const Document &Doc, const KeyName &Key);
+HostName homeFromDocument(const Document &Doc, const KeyName &Key);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/home_token_type.h
+++ b/packages/core/src/attempts/home_token_type.h
@@ -1,4 +1,4 @@
-/** @file home_token_type.h Token that fixes where keys of a class may run. */
+/** @file home_token_type.h Token that fixes the home of each key of a class. */
 
 #ifndef JACINTHPOND_CORE_HOME_TOKEN_TYPE_H
 #define JACINTHPOND_CORE_HOME_TOKEN_TYPE_H
@@ -10,22 +10,22 @@
 
 namespace jacinthpond {
 
-/** One possible home of keys: a single memory in a single process. */
+/** A possible home of keys: one epoch of one agent process. */
 struct TokenHome {
-  HostName Name;      ///< The worker.
+  HostName Name;      ///< Published name of the worker.
   Incarnation Run;    ///< Incarnation of its agent.
-  uint64_t Epoch = 0; ///< Which stretch of that agent's memory.
+  uint64_t Epoch = 0; ///< Epoch of that agent's key records.
 };
 
 /**
- * The homes of a class as they were when the token was given. A key that always
- * comes with the same token has one possible runner for ever, whatever any
- * process believes about who is alive and which configuration is in force.
+ * The possible homes of a class when the token was issued. A key that always
+ * comes with the same token can only ever run at one process, whatever any
+ * process believes about which workers are alive or which document is in force.
  */
 struct HomeToken {
   ClassName Class;              ///< Class of work.
-  uint64_t Serial = 0;          ///< Makes its text another one.
-  std::vector<TokenHome> Homes; ///< Never empty.
+  uint64_t Serial = 0;          ///< Makes the text of each token different.
+  std::vector<TokenHome> Homes; ///< At least one.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/idempotency.cpp
+++ b/packages/core/src/attempts/idempotency.cpp
@@ -1,4 +1,4 @@
-/** @file idempotency.cpp Decisions of a home about non-repeatable calls. */
+/** @file idempotency.cpp Makes a home run each keyed call at most once. */
 
 #include "attempts/idempotency_func.h"
 
@@ -11,93 +11,105 @@
 
 namespace {
 
-/** Epochs whose records are still here, the present one included. */
-constexpr uint64_t EpochsKept = 2;
+/** Epochs whose records are kept, including the current one. */
+constexpr uint64_t KeptEpochs = 2;
 /**
- * How long the old home of a moved key may still run it: the time in which a
- * configuration is in force everywhere, or a process cut off refuses work.
+ * How long the previous home of a key may still run it: the time until a new
+ * document is in force at every process, or a process that is cut off refuses
+ * work.
  */
-constexpr Millis ConfigLag{10000};
+constexpr Millis MaxConfigDelay{10000};
 
-void forgetKey(KeyBook &Book, const KeyName &Key) {
-  const auto it = Book.Records.find(Key);
-  if (it == Book.Records.end())
+/** Removes the record of a key, if there is one. */
+void eraseRecord(KeyBook &Store, const KeyName &Key) {
+  const auto it = Store.Records.find(Key);
+  if (it == Store.Records.end())
     return;
-  Book.ByExpiry.erase({it->second.Forget, Key});
-  Book.WithAnswer.erase({it->second.Forget, Key});
+  Store.ByExpiry.erase({it->second.ExpiresAt, Key});
+  Store.WithAnswer.erase({it->second.ExpiresAt, Key});
   if (it->second.Answer)
-    Book.AnswerBytes -= it->second.Answer->Body.size();
-  Book.Records.erase(it);
+    Store.AnswerBytes -= it->second.Answer->Body.size();
+  Store.Records.erase(it);
 }
 
-void setForget(KeyBook &Book, const KeyName &Key, KeyRecord &Record,
+/** Changes the time at which a record expires. */
+void setExpiry(KeyBook &Store, const KeyName &Key, KeyRecord &Record,
                TimePoint When) {
-  Book.ByExpiry.erase({Record.Forget, Key});
-  Record.Forget = When;
-  Book.ByExpiry.insert({When, Key});
+  Store.ByExpiry.erase({Record.ExpiresAt, Key});
+  Record.ExpiresAt = When;
+  Store.ByExpiry.insert({When, Key});
 }
 
-/** When everything that this home was told under a token may be forgotten. */
-TimePoint endOfToken(const KeyBook &Book) {
-  return Book.EpochSince + (EpochsKept + 1) * KeyEpochLength;
+/**
+ * When a record made now under a token expires: later than any token that this
+ * home accepts now.
+ */
+TimePoint tokenExpiry(const KeyBook &Store) {
+  return Store.EpochStart + (KeptEpochs + 1) * KeyEpochLength;
 }
 
-/** Judges a key that this home has no record of, by its token. */
-KeyVerdict judgeByToken(const KeyBook &Book, const HostName &Self,
-                        const KeyAsked &Asked) {
-  const auto Read = outcomeOf([&] { return readToken(Asked.Token); });
+/** Decides about a key without a record by its token. */
+KeyVerdict decideByToken(const KeyBook &Store, const HostName &Self,
+                         const KeyAsked &Request) {
+  const auto Read = outcomeOf([&] { return readToken(Request.Token); });
   if (!Read.Value)
     return {KeyChoice::Unknown, Millis{0}, "unreadable token"};
-  const TokenHome &Home = homeInToken(*Read.Value, Asked.Key);
+  const TokenHome &Home = homeFromToken(*Read.Value, Request.Key);
   if (Home.Name != Self)
     return {KeyChoice::Unknown, Millis{0}, "another home by token"};
-  // The memory that the token names is gone, and with it the knowledge whether
-  // the key ran. No other process may run it either: its one runner is dead.
-  if (!Book.Runs.contains(Home.Run) || Home.Epoch + EpochsKept <= Book.Epoch)
+  // The records that the token refers to are gone, so nobody knows whether the
+  // key ran. No other process may run it with this token either.
+  if (!Store.Runs.contains(Home.Run) || Home.Epoch + KeptEpochs <= Store.Epoch)
     return {KeyChoice::Unknown, Millis{0}, "the home of the token is gone"};
   return {KeyChoice::Run, Millis{0}, ""};
 }
 
 /**
- * Judges a key that this home has no record of, by the published lists. It may
- * have run at an earlier incarnation or at the home by an earlier list, so this
- * home waits until every caller has stopped repeating what it began then.
+ * Decides about a key without a record or token by the current and past
+ * documents. It may have run before this process started, or at its home by an
+ * earlier document, so this home waits until callers have stopped repeating
+ * calls from that time.
  */
-KeyVerdict judgeByList(const KeyBook &Book, const Document &Doc,
-                       const HostName &Self, const KeyAsked &Asked,
-                       TimePoint Now) {
-  const Millis Horizon = horizonOf(Doc, Asked.Key);
-  if (homeByList(Doc, Asked.Key) != Self)
+KeyVerdict decideByDocuments(const KeyBook &Store, const Document &Doc,
+                             const HostName &Self, const KeyAsked &Request,
+                             TimePoint Now) {
+  const Millis Horizon = keyRetryHorizon(Doc, Request.Key);
+  if (homeFromDocument(Doc, Request.Key) != Self)
     return {KeyChoice::Warming, Millis{0}, "another home by list"};
-  TimePoint Since = Book.Started;
-  for (const PastList &Past : Book.Lists)
-    if (homeByList(*Past.Doc, Asked.Key) != Self)
-      Since = std::max(Since, Past.Until + ConfigLag);
-  if (Now < Since + Horizon)
-    return {KeyChoice::Warming, toMillis(Since + Horizon - Now),
+  TimePoint CertainSince = Store.Started;
+  for (const PastDocument &Past : Store.PastDocuments)
+    if (homeFromDocument(*Past.Doc, Request.Key) != Self)
+      CertainSince = std::max(CertainSince, Past.Until + MaxConfigDelay);
+  if (Now < CertainSince + Horizon)
+    return {KeyChoice::Warming, toMillis(CertainSince + Horizon - Now),
             "new to this home"};
   return {KeyChoice::Run, Millis{0}, ""};
 }
 
-/** Judges a key that did not run when it came before. */
-std::optional<KeyVerdict> judgeRefused(const KeyRecord &Record,
-                                       const KeyAsked &Asked, TimePoint Now) {
-  if (Record.Token != Asked.Token)
+/**
+ * Decides about a key that was refused before; nothing when it comes with
+ * another token.
+ */
+std::optional<KeyVerdict> decideRefusedKey(const KeyRecord &Record,
+                                           const KeyAsked &Request,
+                                           TimePoint Now) {
+  if (Record.Token != Request.Token)
     return std::nullopt;
   // The caller was told "not run" and may have run it elsewhere since.
-  if (!Asked.Token.empty())
+  if (!Request.Token.empty())
     return KeyVerdict{KeyChoice::Refuse, Millis{0}, "refused before"};
   return KeyVerdict{KeyChoice::Refuse,
-                    std::max(Millis{1}, toMillis(Record.Forget - Now)),
+                    std::max(Millis{1}, toMillis(Record.ExpiresAt - Now)),
                     "refused a moment ago"};
 }
 
-/** Judges a key by its record; nothing when it may be judged as a new one. */
-std::optional<KeyVerdict> judgeRecord(const KeyRecord &Record,
-                                      const KeyAsked &Asked, TimePoint Now) {
+/** Decides about a key by its record; nothing when it counts as a new key. */
+std::optional<KeyVerdict> decideByRecord(const KeyRecord &Record,
+                                         const KeyAsked &Request,
+                                         TimePoint Now) {
   if (Record.State == KeyState::Refused)
-    return judgeRefused(Record, Asked, Now);
-  if (Record.Body != Asked.Body)
+    return decideRefusedKey(Record, Request, Now);
+  if (Record.Body != Request.Body)
     return KeyVerdict{KeyChoice::Conflict, Millis{0}, ""};
   if (Record.State == KeyState::Done)
     return KeyVerdict{KeyChoice::Answer, Millis{0}, ""};
@@ -107,128 +119,128 @@
 } // namespace
 
 KeyBook makeKeyBook(TimePoint Now) {
-  KeyBook Book;
-  Book.Started = Now;
-  Book.EpochSince = Now;
-  return Book;
+  KeyBook Store;
+  Store.Started = Now;
+  Store.EpochStart = Now;
+  return Store;
 }
 
-Millis horizonOf(const Document &Doc, const KeyName &Key) {
+Millis keyRetryHorizon(const Document &Doc, const KeyName &Key) {
   const WorkClass *Class = findClass(Doc, std::get<ClassName>(Key));
   return Doc.RetryHorizon + (Class == nullptr ? Millis{0} : Class->Deadline);
 }
 
-KeyVerdict judgeKey(const KeyBook &Book, const Document &Doc,
-                    const HostName &Self, const KeyAsked &Asked,
+KeyVerdict judgeKey(const KeyBook &Store, const Document &Doc,
+                    const HostName &Self, const KeyAsked &Request,
                     TimePoint Now) {
-  const auto it = Book.Records.find(Asked.Key);
-  if (it != Book.Records.end())
-    if (const auto Verdict = judgeRecord(it->second, Asked, Now))
+  const auto it = Store.Records.find(Request.Key);
+  if (it != Store.Records.end())
+    if (const auto Verdict = decideByRecord(it->second, Request, Now))
       return *Verdict;
-  KeyVerdict Verdict = Asked.Token.empty()
-                           ? judgeByList(Book, Doc, Self, Asked, Now)
-                           : judgeByToken(Book, Self, Asked);
-  if (Verdict.Choice == KeyChoice::Run && Book.Records.size() >= MaxKeyRecords)
-    Verdict = {KeyChoice::Warming, RefusedHold, "too many keys"};
+  KeyVerdict Verdict = Request.Token.empty()
+                           ? decideByDocuments(Store, Doc, Self, Request, Now)
+                           : decideByToken(Store, Self, Request);
+  if (Verdict.Choice == KeyChoice::Run && Store.Records.size() >= MaxKeyRecords)
+    Verdict = {KeyChoice::Warming, RefusedKeyHold, "too many keys"};
   return Verdict;
 }
 
-KeyRecord &openKey(KeyBook &Book, const Document &Doc, const KeyAsked &Asked,
+KeyRecord &openKey(KeyBook &Store, const Document &Doc, const KeyAsked &Request,
                    const AttemptId &First, TimePoint Now) {
-  forgetKey(Book, Asked.Key);
-  KeyRecord &Record = Book.Records[Asked.Key];
-  Record.Body = Asked.Body;
-  Record.Token = Asked.Token;
+  eraseRecord(Store, Request.Key);
+  KeyRecord &Record = Store.Records[Request.Key];
+  Record.Body = Request.Body;
+  Record.Token = Request.Token;
   Record.First = First;
-  // A repeat may begin at the end of the horizon and last one deadline.
-  const TimePoint End = Asked.Token.empty()
-                            ? Now + 2 * horizonOf(Doc, Asked.Key)
-                            : endOfToken(Book);
-  setForget(Book, Asked.Key, Record, End);
+  // A repeat may begin at the end of the horizon and take until its deadline.
+  const TimePoint End = Request.Token.empty()
+                            ? Now + 2 * keyRetryHorizon(Doc, Request.Key)
+                            : tokenExpiry(Store);
+  setExpiry(Store, Request.Key, Record, End);
   return Record;
 }
 
-std::vector<AttemptId> closeKey(KeyBook &Book, const KeyName &Key,
+std::vector<AttemptId> closeKey(KeyBook &Store, const KeyName &Key,
                                 const std::optional<ServiceAnswer> &Answer) {
-  const auto it = Book.Records.find(Key);
-  if (it == Book.Records.end())
+  const auto it = Store.Records.find(Key);
+  if (it == Store.Records.end())
     return {};
   KeyRecord &Record = it->second;
   Record.State = KeyState::Done;
   Record.Answer = Answer;
   if (Answer) {
-    Book.AnswerBytes += Answer->Body.size();
-    Book.WithAnswer.insert({Record.Forget, Key});
+    Store.AnswerBytes += Answer->Body.size();
+    Store.WithAnswer.insert({Record.ExpiresAt, Key});
   }
-  std::vector<AttemptId> Told = std::move(Record.Followers);
+  std::vector<AttemptId> Waiters = std::move(Record.Followers);
   Record.Followers.clear();
-  while (Book.AnswerBytes > MaxAnswerBytes) {
-    const auto Oldest = Book.WithAnswer.begin();
-    KeyRecord &Loses = Book.Records.at(Oldest->second);
-    Book.AnswerBytes -= Loses.Answer->Body.size();
-    Loses.Answer.reset();
-    Book.WithAnswer.erase(Oldest);
+  while (Store.AnswerBytes > MaxAnswerBytes) {
+    const auto Oldest = Store.WithAnswer.begin();
+    KeyRecord &Evicted = Store.Records.at(Oldest->second);
+    Store.AnswerBytes -= Evicted.Answer->Body.size();
+    Evicted.Answer.reset();
+    Store.WithAnswer.erase(Oldest);
   }
-  return Told;
+  return Waiters;
 }
 
-std::vector<AttemptId> refuseKey(KeyBook &Book, const KeyName &Key,
+std::vector<AttemptId> refuseKey(KeyBook &Store, const KeyName &Key,
                                  TimePoint Now) {
-  const auto it = Book.Records.find(Key);
-  if (it == Book.Records.end())
+  const auto it = Store.Records.find(Key);
+  if (it == Store.Records.end())
     return {};
   KeyRecord &Record = it->second;
   Record.State = KeyState::Refused;
   if (Record.Token.empty())
-    setForget(Book, Key, Record, Now + RefusedHold);
-  std::vector<AttemptId> Told = std::move(Record.Followers);
+    setExpiry(Store, Key, Record, Now + RefusedKeyHold);
+  std::vector<AttemptId> Waiters = std::move(Record.Followers);
   Record.Followers.clear();
-  return Told;
+  return Waiters;
 }
 
-void keepPastList(KeyBook &Book, const DocumentPtr &Before, TimePoint Now) {
+void keepPastList(KeyBook &Store, const DocumentPtr &Before, TimePoint Now) {
   if (!Before) {
-    // Nothing was in force, so nothing was run here yet.
-    Book.Started = Now;
+    // No document was in force, so nothing has run here yet.
+    Store.Started = Now;
     return;
   }
-  // While no class has keys no home could have run one; a fleet whose servers
-  // come and go every second would keep dozens of documents for nothing.
+  // Without keyed classes no home can have run a key. Keeping such documents
+  // would waste memory in a fleet whose servers change every second.
   const bool HasKeys = std::ranges::any_of(
       Before->Classes, [](const WorkClass &One) { return !One.Repeatable; });
-  if (!HasKeys && Book.Lists.empty())
+  if (!HasKeys && Store.PastDocuments.empty())
     return;
-  Book.Lists.push_back({Before, Now});
-  if (Book.Lists.size() <= MaxPastLists)
+  Store.PastDocuments.push_back({Before, Now});
+  if (Store.PastDocuments.size() <= MaxPastDocuments)
     return;
-  Book.Started = std::max(Book.Started, Book.Lists.front().Until);
-  Book.Lists.pop_front();
+  Store.Started = std::max(Store.Started, Store.PastDocuments.front().Until);
+  Store.PastDocuments.pop_front();
 }
 
-void expireKeys(KeyBook &Book, Incarnation Run, TimePoint Now) {
-  Book.Runs.insert(Run);
-  if (Book.Runs.size() > MaxRuns)
-    Book.Runs.erase(*Book.Runs.begin() == Run ? std::next(Book.Runs.begin())
-                                              : Book.Runs.begin());
-  // A process that slept through epochs forgets what was due in each of them,
-  // so their tokens must end with them.
-  const auto Passed = (Now - Book.EpochSince) / Duration(KeyEpochLength);
-  Book.Epoch += static_cast<uint64_t>(Passed);
-  Book.EpochSince += Passed * Duration(KeyEpochLength);
-  const auto StillOpen = [&](const KeyName &Key) {
-    const KeyState State = Book.Records.at(Key).State;
+void expireKeys(KeyBook &Store, Incarnation Run, TimePoint Now) {
+  Store.Runs.insert(Run);
+  if (Store.Runs.size() > MaxIncarnations)
+    Store.Runs.erase(*Store.Runs.begin() == Run ? std::next(Store.Runs.begin())
+                                                : Store.Runs.begin());
+  // Records expire at their time even if the process was paused for epochs, so
+  // the tokens of the missed epochs must become invalid too.
+  const auto PassedEpochs = (Now - Store.EpochStart) / Duration(KeyEpochLength);
+  Store.Epoch += static_cast<uint64_t>(PassedEpochs);
+  Store.EpochStart += PassedEpochs * Duration(KeyEpochLength);
+  const auto IsOpen = [&](const KeyName &Key) {
+    const KeyState State = Store.Records.at(Key).State;
     return State == KeyState::Waiting || State == KeyState::Running;
   };
-  auto it = Book.ByExpiry.begin();
-  while (it != Book.ByExpiry.end() && it->first <= Now) {
+  auto it = Store.ByExpiry.begin();
+  while (it != Store.ByExpiry.end() && it->first <= Now) {
     const KeyName Key = it->second;
     ++it;
-    if (!StillOpen(Key))
-      forgetKey(Book, Key);
+    if (!IsOpen(Key))
+      eraseRecord(Store, Key);
   }
-  while (!Book.Lists.empty() &&
-         Now - Book.Lists.front().Until > 2 * KeyEpochLength)
-    Book.Lists.pop_front();
+  while (!Store.PastDocuments.empty() &&
+         Now - Store.PastDocuments.front().Until > 2 * KeyEpochLength)
+    Store.PastDocuments.pop_front();
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/idempotency_func.h
+++ b/packages/core/src/attempts/idempotency_func.h
@@ -1,4 +1,4 @@
-/** @file idempotency_func.h Decisions of a home about non-repeatable calls. */
+/** @file idempotency_func.h Makes a home run each keyed call at most once. */
 
 #ifndef JACINTHPOND_CORE_IDEMPOTENCY_FUNC_H
 #define JACINTHPOND_CORE_IDEMPOTENCY_FUNC_H
@@ -7,98 +7,109 @@
 
 namespace jacinthpond {
 
-/** Length of an epoch; tokens are good for one to two of them. */
+/** Length of an epoch; a token is valid for one to two epochs. */
 constexpr Millis KeyEpochLength{600000};
 /**
- * How long a key that was refused without a token stays refused. A late start
- * of the same key can be under way no longer than a link may be silent; after
- * that only the caller's own next try can come.
+ * How long a key that was refused without a token stays refused. A delayed
+ * start of the same key can arrive only within the silence limit of a link; any
+ * later one is a new call by the caller.
  */
-constexpr Millis RefusedHold{3000};
-/** Keys remembered at most; above it new keys are told to come back. */
+constexpr Millis RefusedKeyHold{3000};
+/** Limit of records; above it callers with new keys are told to try later. */
 constexpr size_t MaxKeyRecords = 200000;
-/** Bytes of answers remembered at most; above it the oldest are lost. */
+/** Limit of the bytes of stored answers; above it the oldest are dropped. */
 constexpr size_t MaxAnswerBytes = size_t{32} << 20U;
-/** Incarnations of one process whose tokens are good; a pause makes a new one.
+/**
+ * Limit of incarnations whose tokens are valid; each pause of the process
+ * makes a new incarnation.
+ */
+constexpr size_t MaxIncarnations = 64;
+/**
+ * Limit of past documents; above it the oldest is dropped, and calls
+ * from before it was replaced count as unrecorded.
  */
-constexpr size_t MaxRuns = 64;
-/** Past lists remembered; above it every key counts as new to this home. */
-constexpr size_t MaxPastLists = 64;
+constexpr size_t MaxPastDocuments = 64;
 
 /**
- * Sets up an empty memory.
+ * Creates an empty store.
  * @param Now Current time.
- * @return It vouches for keys without a token after the retry horizon.
+ * @return The store; calls without a token are run only after the retry
+ * horizon.
  */
 KeyBook makeKeyBook(TimePoint Now);
 
 /**
- * Decides what happens to a keyed call.
- * @param Book The home's memory.
+ * Decides whether a home runs, answers or refuses a keyed call.
+ * @param Store The home's store; not changed.
  * @param Doc Document in force.
  * @param Self Published name of this worker.
- * @param Asked The call.
+ * @param Request The call.
  * @param Now Current time.
- * @return The verdict; the memory is as before.
+ * @return What to do with the call.
  */
-KeyVerdict judgeKey(const KeyBook &Book, const Document &Doc,
-                    const HostName &Self, const KeyAsked &Asked, TimePoint Now);
+KeyVerdict judgeKey(const KeyBook &Store, const Document &Doc,
+                    const HostName &Self, const KeyAsked &Request,
+                    TimePoint Now);
 
 /**
- * Remembers a key that is about to wait or run.
- * @param Book Memory to change.
+ * Adds the record of a keyed call that is about to be queued or run; replaces
+ * one that the key may have.
+ * @param Store Store to change.
  * @param Doc Document in force.
- * @param Asked The call.
- * @param First Its attempt.
+ * @param Request The call.
+ * @param First Attempt that runs the call.
  * @param Now Current time.
  * @return The record.
  */
-KeyRecord &openKey(KeyBook &Book, const Document &Doc, const KeyAsked &Asked,
+KeyRecord &openKey(KeyBook &Store, const Document &Doc, const KeyAsked &Request,
                    const AttemptId &First, TimePoint Now);
 
 /**
- * A key has its outcome; its record stays until it is forgotten.
- * @param Book Memory to change.
- * @param Key Which key.
- * @param Answer The answer; none: it may have run.
+ * Marks a key as done and stores its answer. Drops the oldest answers above
+ * MaxAnswerBytes.
+ * @param Store Store to change.
+ * @param Key The key.
+ * @param Answer The answer; none when the call may have run but its answer is
+ * lost.
  * @return Attempts that wait for the outcome.
  */
-std::vector<AttemptId> closeKey(KeyBook &Book, const KeyName &Key,
+std::vector<AttemptId> closeKey(KeyBook &Store, const KeyName &Key,
                                 const std::optional<ServiceAnswer> &Answer);
 
 /**
- * A key did not run and never will under its token.
- * @param Book Memory to change.
- * @param Key Which key.
+ * Marks a key as refused: it did not run, and never will with its token.
+ * @param Store Store to change.
+ * @param Key The key.
  * @param Now Current time.
  * @return Attempts that wait for the outcome.
  */
-std::vector<AttemptId> refuseKey(KeyBook &Book, const KeyName &Key,
+std::vector<AttemptId> refuseKey(KeyBook &Store, const KeyName &Key,
                                  TimePoint Now);
 
 /**
- * Another document came into force.
- * @param Book Memory to change.
- * @param Before The one in force until now; may be null.
+ * Records the document that has just been replaced.
+ * @param Store Store to change.
+ * @param Before The replaced document; may be null.
  * @param Now Current time.
  */
-void keepPastList(KeyBook &Book, const DocumentPtr &Before, TimePoint Now);
+void keepPastList(KeyBook &Store, const DocumentPtr &Before, TimePoint Now);
 
 /**
- * Forgets what is past its time and begins a new epoch when it is due.
- * @param Book Memory to change.
+ * Removes expired records and documents, and begins a new epoch when it is due.
+ * @param Store Store to change.
  * @param Run Incarnation of this process; a pause changes it.
  * @param Now Current time.
  */
-void expireKeys(KeyBook &Book, Incarnation Run, TimePoint Now);
+void expireKeys(KeyBook &Store, Incarnation Run, TimePoint Now);
 
 /**
- * How long after its first try a key may still come without a token.
+ * Gives the time after its first call during which a key without a token may
+ * still be repeated.
  * @param Doc Document in force.
- * @param Key Which key.
- * @return Retry horizon and the class's deadline together.
+ * @param Key The key.
+ * @return Retry horizon plus the deadline of the class.
  */
-Millis horizonOf(const Document &Doc, const KeyName &Key);
+Millis keyRetryHorizon(const Document &Doc, const KeyName &Key);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/idempotency_type.h
+++ b/packages/core/src/attempts/idempotency_type.h
@@ -1,4 +1,9 @@
-/** @file idempotency_type.h What a home remembers of non-repeatable calls. */
+/** @file idempotency_type.h Records that a home keeps of keyed calls.
+ *
+ * A keyed call is one of a class that is not repeatable; it carries an
+ * idempotency key. The home of a key is the only worker that may run calls with
+ * it. See home_token_func.h for how it is chosen.
+ */
 
 #ifndef JACINTHPOND_CORE_IDEMPOTENCY_TYPE_H
 #define JACINTHPOND_CORE_IDEMPOTENCY_TYPE_H
@@ -19,67 +24,67 @@
 
 namespace jacinthpond {
 
-/** How far a key has come at its home. */
+/** State of a key at its home. */
 enum class KeyState : uint8_t {
-  Waiting, ///< Its attempt waits to run.
-  Running, ///< The back end may have it.
-  Done,    ///< It ran; the answer may be lost.
-  Refused  ///< It did not run and never will under this token.
+  Waiting, ///< Its attempt is queued.
+  Running, ///< Sent to the back end.
+  Done,    ///< It may have run; the answer may be lost.
+  Refused  ///< It did not run, and never will with this token.
 };
 
-/** A call that may not be repeated, as its home remembers it. */
+/** Record of a keyed call at its home. */
 struct KeyRecord {
-  Digest Body;                         ///< Digest of the body.
-  KeyState State = KeyState::Waiting;  ///< How far it has come.
-  std::optional<ServiceAnswer> Answer; ///< When Done; none: unknown.
-  std::string Token;                   ///< Token it came with; empty: none.
-  TimePoint Forget;                    ///< When it is forgotten.
-  AttemptId First;                     ///< Attempt that runs it.
-  std::vector<AttemptId> Followers;    ///< Repeats that wait for the answer.
+  Digest Body;                         ///< Digest of the request body.
+  KeyState State = KeyState::Waiting;  ///< State of the key.
+  std::optional<ServiceAnswer> Answer; ///< Set when Done and still kept.
+  std::string Token;                ///< Home token of the call; empty for none.
+  TimePoint ExpiresAt;              ///< When the record is removed.
+  AttemptId First;                  ///< The attempt that runs the call.
+  std::vector<AttemptId> Followers; ///< Repeats that get the same answer.
 };
 
-/** A published list that was in force here before. */
-struct PastList {
+/** A document that was in force here before. */
+struct PastDocument {
   DocumentPtr Doc; ///< The document.
-  TimePoint Until; ///< When another one took its place.
+  TimePoint Until; ///< When it was replaced.
 };
 
-/** All keys of one home. */
+/** Keys that one home has records of. */
 struct KeyBook {
   std::map<KeyName, KeyRecord> Records;               ///< By key.
-  std::set<std::pair<TimePoint, KeyName>> ByExpiry;   ///< First to go first.
+  std::set<std::pair<TimePoint, KeyName>> ByExpiry;   ///< In order of expiry.
   std::set<std::pair<TimePoint, KeyName>> WithAnswer; ///< Those with Answer.
-  size_t AnswerBytes = 0;                             ///< Bytes in all answers.
-  uint64_t Epoch = 1;         ///< Stretch of memory that new tokens name.
-  TimePoint EpochSince;       ///< When it began.
-  std::set<Incarnation> Runs; ///< Incarnations that this memory lived through.
-  TimePoint Started;          ///< Nothing from before this is known.
-  std::deque<PastList> Lists; ///< Lists of the last while, oldest first.
+  size_t AnswerBytes = 0;     ///< Total size of the answers.
+  uint64_t Epoch = 1;         ///< Epoch that new tokens name.
+  TimePoint EpochStart;       ///< When the epoch began.
+  std::set<Incarnation> Runs; ///< Incarnations that made these records.
+  TimePoint Started; ///< Calls from before this time may have run unrecorded.
+  std::deque<PastDocument> PastDocuments; ///< Recent documents, oldest first.
 };
 
-/** What a home may do with a key. */
+/** What a home does with a keyed call. */
 enum class KeyChoice : uint8_t {
-  Run,      ///< It did not run; it may run now.
-  Follow,   ///< It waits or runs: the repeat gets the same answer.
-  Answer,   ///< It ran: the answer is in the record, or lost.
-  Refuse,   ///< It did not run and will not under this token.
-  Conflict, ///< The key came with another body before.
-  Warming,  ///< It may have run where this home cannot see it; come back.
-  Unknown   ///< It may have run where nobody can see it any more.
+  Run,      ///< It did not run yet; run it now.
+  Follow,   ///< It is queued or running; give the repeat the same answer.
+  Answer,   ///< It ran; send the recorded answer, or an error if it is lost.
+  Refuse,   ///< It did not run, and never will with this token.
+  Conflict, ///< The key was used with another body before.
+  Warming,  ///< It may have run elsewhere; the caller may try later.
+  Unknown   ///< It may have run, and no record of it is left.
 };
 
-/** A choice with what the caller is told. */
+/** Decision about a keyed call, and what the caller is told. */
 struct KeyVerdict {
-  KeyChoice Choice = KeyChoice::Unknown; ///< What to do.
-  Millis RetryAfter{0};                  ///< When Refuse or Warming.
-  std::string Detail;                    ///< For logs.
+  KeyChoice Choice = KeyChoice::Unknown; ///< What the home does.
+  Millis RetryAfter{0};                  ///< Set for Refuse and Warming.
+  std::string Detail; ///< Reason, for logs and error details.
 };
 
-/** A keyed call as it comes to a home. */
+/** A keyed call as received by a home. */
 struct KeyAsked {
-  KeyName Key;       ///< Class, tenant and key.
-  std::string Token; ///< As the caller sent it; empty: none.
-  Digest Body;       ///< Digest of the body.
+  KeyName Key;       ///< Class, workspace and key.
+  std::string Token; ///< Home token as sent by the caller; empty for none.
+  Digest Body;       ///< Digest of the request body.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/keyed_call.cpp
+++ b/packages/core/src/attempts/keyed_call.cpp
@@ -1,4 +1,4 @@
-/** @file keyed_call.cpp Non-repeatable calls at an entry: homes, tokens. */
+/** @file keyed_call.cpp Homes and home tokens of keyed calls. */
 
 #include "attempts/keyed_call_func.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** True when a worker may be named as a home in a new token. */
+/** True when a new home token may list a worker. */
 bool mayBeHome(const EntryState &Entry, const Worker &Host) {
   const PeerLink *Link = readyLink(Entry.Fleet, Host.Name);
   if (Link == nullptr || Link->Leaving || Link->Load.KeyEpoch == 0)
@@ -24,44 +24,48 @@
   return Serves && !Entry.View.InForce->DomainsOut.contains(Host.Domain);
 }
 
-KeyName nameOf(const Call &One) {
-  return {One.Asked.Class, One.Asked.Tenant, One.Asked.Key};
+/** Class, workspace and key of a call. */
+KeyName keyNameOf(const Call &ActiveCall) {
+  return {ActiveCall.Received.Class, ActiveCall.Received.Tenant,
+          ActiveCall.Received.Key};
 }
 
 } // namespace
 
-bool isKeyed(const EntryState &Entry, const Call &One) {
+bool isKeyed(const EntryState &Entry, const Call &ActiveCall) {
   if (!Entry.View.InForce)
-    return !One.Asked.Key.Value.empty();
-  const WorkClass *Class = findClass(*Entry.View.InForce, One.Asked.Class);
+    return !ActiveCall.Received.Key.Value.empty();
+  const WorkClass *Class =
+      findClass(*Entry.View.InForce, ActiveCall.Received.Class);
   return Class != nullptr && !Class->Repeatable;
 }
 
-HostName homeOfCall(const EntryState &Entry, const Call &One) {
-  const auto Token = outcomeOf([&] { return readToken(One.Asked.Token); });
+HostName homeOfCall(const EntryState &Entry, const Call &ActiveCall) {
+  const auto Token =
+      outcomeOf([&] { return readToken(ActiveCall.Received.Token); });
   if (!Token.Value)
-    return homeByList(*Entry.View.InForce, nameOf(One));
-  return homeInToken(*Token.Value, nameOf(One)).Name;
+    return homeFromDocument(*Entry.View.InForce, keyNameOf(ActiveCall));
+  return homeFromToken(*Token.Value, keyNameOf(ActiveCall)).Name;
 }
 
 std::string makeHomeToken(const EntryState &Entry, const ClassName &Class) {
   if (!Entry.View.InForce)
     return "";
   const Document &Doc = *Entry.View.InForce;
-  const WorkClass *Row = findClass(Doc, Class);
-  if (Row == nullptr || Row->Repeatable)
+  const WorkClass *FoundClass = findClass(Doc, Class);
+  if (FoundClass == nullptr || FoundClass->Repeatable)
     return "";
   std::vector<HostName> Names;
-  for (const Worker *Host : workersOf(Doc, *Row))
+  for (const Worker *Host : workersOf(Doc, *FoundClass))
     if (mayBeHome(Entry, *Host))
       Names.push_back(Host->Name);
-  // A class may have more workers than a token names: tokens differ in which.
+  // A token lists at most MaxTokenHomes workers; each token gets other ones.
   Names = rendezvousOrder(std::to_string(Entry.Counters.Calls), Names);
   Names.resize(std::min(Names.size(), MaxTokenHomes));
   HomeToken Token;
   Token.Class = Class;
-  // A home that refused a key tells tokens apart by their texts. One of equal
-  // text in place of the refused one would be refused for as long as it lasts.
+  // A home that has refused a key compares tokens by their text. A new token
+  // with the same text would be refused too until it expires.
   Token.Serial = Entry.Fleet.Self.Run.Value + Entry.Counters.Calls;
   for (const HostName &Name : Names) {
     const PeerLink *Link = readyLink(Entry.Fleet, Name);
@@ -70,21 +74,21 @@
   return Token.Homes.empty() ? "" : writeToken(Token);
 }
 
-bool tokenFits(const std::string &Token, const ClassName &Class) {
+bool isTokenAcceptable(const std::string &Token, const ClassName &Class) {
   if (Token.empty())
     return true;
   const auto Read = outcomeOf([&] { return readToken(Token); });
   return Read.Value && Read.Value->Class == Class;
 }
 
-Ran ranOfKey(const EntryState &Entry, const Call &One, const Failure &Why,
-             Ran Executed) {
-  // What a caller calls its request is the key. An entry cannot know whether
-  // an earlier try, sent through another entry, ran; only the home can.
-  const bool Guess = Executed == Ran::No && !One.HomeSaidNo &&
-                     Why.Kind != ErrorKind::BadRequest &&
-                     Why.Kind != ErrorKind::NotFound;
-  return Guess && isKeyed(Entry, One) ? Ran::Unknown : Executed;
+Ran executionToReport(const EntryState &Entry, const Call &ActiveCall,
+                      const Failure &Why, Ran Executed) {
+  // The key identifies the request. Only the home knows whether an earlier call
+  // with the key, sent through another entry, ran.
+  const bool IsUnconfirmed =
+      Executed == Ran::No && !ActiveCall.HomeConfirmedNotRun &&
+      Why.Kind != ErrorKind::BadRequest && Why.Kind != ErrorKind::NotFound;
+  return IsUnconfirmed && isKeyed(Entry, ActiveCall) ? Ran::Unknown : Executed;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/keyed_call_func.h
+++ b/packages/core/src/attempts/keyed_call_func.h
@@ -1,4 +1,4 @@
-/** @file keyed_call_func.h Non-repeatable calls at an entry: homes, tokens. */
+/** @file keyed_call_func.h Homes and home tokens of keyed calls. */
 
 #ifndef JACINTHPOND_CORE_KEYED_CALL_FUNC_H
 #define JACINTHPOND_CORE_KEYED_CALL_FUNC_H
@@ -10,47 +10,52 @@
 namespace jacinthpond {
 
 /**
- * Says whether a call may not be repeated.
+ * Says whether a call is keyed, which means that it must not run twice.
  * @param Entry The state.
- * @param One The call.
- * @return True when its class is not repeatable.
+ * @param ActiveCall The call.
+ * @return True when its class is not repeatable; before the first document,
+ * when the call has a key.
  */
-bool isKeyed(const EntryState &Entry, const Call &One);
+bool isKeyed(const EntryState &Entry, const Call &ActiveCall);
 
 /**
- * Gives the home of a call's key.
+ * Gives the home of the key of a call, by its token or else by the document in
+ * force.
  * @param Entry The state.
- * @param One A keyed call with a readable token or none.
+ * @param ActiveCall A keyed call with a valid token or none.
  * @return The worker; empty when the class has none.
  */
-HostName homeOfCall(const EntryState &Entry, const Call &One);
+HostName homeOfCall(const EntryState &Entry, const Call &ActiveCall);
 
 /**
- * Makes a token of the homes that are ready now.
+ * Makes a home token of the workers that are ready now.
  * @param Entry The state.
  * @param Class A class that is not repeatable.
- * @return The token; empty when no home is ready or the class needs none.
+ * @return The token as text; empty when no worker is ready or the class is
+ * repeatable.
  */
 std::string makeHomeToken(const EntryState &Entry, const ClassName &Class);
 
 /**
- * Says whether a token fits a class.
- * @param Token As the caller sent it; empty: none.
+ * Says whether a call of a class may carry a token.
+ * @param Token Token as sent by the caller; empty for none.
  * @param Class The class of the call.
- * @return False for one that is cut, changed or of another class.
+ * @return True for no token or a valid one of the class; false when it is
+ * truncated, altered or of another class.
  */
-bool tokenFits(const std::string &Token, const ClassName &Class);
+bool isTokenAcceptable(const std::string &Token, const ClassName &Class);
 
 /**
- * Says what a caller may be told of a call that ended without an answer.
+ * Says whether a call without an answer ran, as reported to its caller.
  * @param Entry The state.
- * @param One The call.
+ * @param ActiveCall The call.
  * @param Why The failure.
- * @param Executed What is known of its attempts.
- * @return "No" for a keyed call only on the word of its home.
+ * @param Executed Outcome of its attempts as the entry knows it.
+ * @return Executed; but Unknown instead of No for a keyed call whose home has
+ * not confirmed that the key did not run.
  */
-Ran ranOfKey(const EntryState &Entry, const Call &One, const Failure &Why,
-             Ran Executed);
+Ran executionToReport(const EntryState &Entry, const Call &ActiveCall,
+                      const Failure &Why, Ran Executed);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/routing/directory.cpp
+++ b/packages/core/src/routing/directory.cpp
@@ -1,4 +1,4 @@
-/** @file directory.cpp Which entries callers on routes are told to use. */
+/** @file directory.cpp Entries that the directory names to a caller. */
 
 #include "routing/directory_func.h"
 
@@ -9,11 +9,15 @@
 
 namespace {
 
-/** Addresses of a domain or region with which a caller has a choice. */
-constexpr size_t EnoughAddresses = 2;
-/** Addresses given at most. */
+/**
+ * Entries that give a caller a choice; a domain with fewer is widened to its
+ * region.
+ */
+constexpr size_t MinAddresses = 2;
+/** Limit of addresses in one answer. */
 constexpr size_t MaxAddresses = 64;
 
+/** Addresses of the entries that meet a condition, MaxAddresses at most. */
 template <typename Predicate>
 std::vector<Address> addressesIf(const std::vector<EntryHost> &Alive,
                                  Predicate &&Wanted) {
@@ -32,7 +36,7 @@
                                      const RegionName &Region) {
   std::vector<Address> Near = addressesIf(
       Alive, [&](const EntryHost &Host) { return Host.Domain == Domain; });
-  if (Near.size() >= EnoughAddresses)
+  if (Near.size() >= MinAddresses)
     return Near;
   const auto InRegion = [&](const EntryHost &Host) {
     if (Doc == nullptr)
@@ -40,13 +44,13 @@
     const auto it = Doc->RegionOf.find(Host.Domain);
     return it != Doc->RegionOf.end() && it->second == Region;
   };
-  std::vector<Address> Around = addressesIf(Alive, InRegion);
-  if (Around.size() >= EnoughAddresses)
-    return Around;
-  // A single near entry is still named alone: it is alive, and the region's
-  // callers may be bound to it.
-  if (!Around.empty())
-    return Around;
+  std::vector<Address> Regional = addressesIf(Alive, InRegion);
+  if (Regional.size() >= MinAddresses)
+    return Regional;
+  // A single entry in the region is still returned alone: it is alive, and
+  // callers may be required to stay in their region.
+  if (!Regional.empty())
+    return Regional;
   return addressesIf(Alive, [](const EntryHost &) { return true; });
 }
 
--- a/packages/core/src/routing/directory_func.h
+++ b/packages/core/src/routing/directory_func.h
@@ -1,4 +1,4 @@
-/** @file directory_func.h Which entries callers on routes are told to use. */
+/** @file directory_func.h Entries that the directory names to a caller. */
 
 #ifndef JACINTHPOND_CORE_DIRECTORY_FUNC_H
 #define JACINTHPOND_CORE_DIRECTORY_FUNC_H
@@ -10,15 +10,16 @@
 namespace jacinthpond {
 
 /**
- * Chooses entries for a caller: those of its failure domain while there are
- * two, else those of its region, else all. Callers spread over what they are
- * given, so that near entries share the callers of their domain; two, since a
- * caller that has lost its only address would have to ask again first.
- * @param Alive Entries that take callers.
- * @param Doc Document in force, for the regions; may be null.
+ * Chooses entries for a caller on a route: those in its failure domain if there
+ * are at least two, else those in its region, else all. Callers spread their
+ * requests over the addresses, so the entries of a domain share its callers.
+ * With one address only, a caller that loses it would have to query the
+ * directory again before it could go on.
+ * @param Alive Entries that accept callers.
+ * @param Doc Document in force, which maps domains to regions; may be null.
  * @param Domain Failure domain of the caller; may be empty.
  * @param Region Region of the caller; may be empty.
- * @return Their addresses; empty when no entry is alive.
+ * @return Addresses for callers, 64 at most; empty when no entry is alive.
  */
 std::vector<Address> directoryAnswer(const std::vector<EntryHost> &Alive,
                                      const Document *Doc,
--- a/packages/core/src/routing/entry_addresses.cpp
+++ b/packages/core/src/routing/entry_addresses.cpp
@@ -1,4 +1,4 @@
-/** @file entry_addresses.cpp Which entries a caller is told to use. */
+/** @file entry_addresses.cpp Entry addresses given to callers. */
 
 #include "routing/entry_addresses_func.h"
 
@@ -15,13 +15,16 @@
 
 namespace {
 
-/** Addresses given to a caller. */
+/** Limit of addresses in one answer. */
 constexpr size_t MaxAddresses = 4;
-/** How many of them come from the domain of this entry. */
+/** How many of them come first from the domain of this entry. */
 constexpr size_t NearAddresses = 2;
 
-/** True when nothing speaks against sending a caller to an entry. */
-bool takesCallers(const EntryState &Entry, const EntryHost &Host) {
+/**
+ * True when callers may be sent to an entry: its domain is not out, and it is
+ * not known to be leaving, unreachable or without a fresh configuration.
+ */
+bool canTakeCallers(const EntryState &Entry, const EntryHost &Host) {
   if (Entry.View.InForce->DomainsOut.contains(Host.Domain))
     return false;
   if (Host.Name == Entry.Fleet.Self.Name)
@@ -30,8 +33,8 @@
   if (const PeerLink *Link = readyLink(Entry.Fleet, Host.Name))
     return Link->Fresh && !Link->Leaving &&
            !isDeparting(Entry.Fleet, Host.Name, Link->Peer.Run);
-  // Of an entry without a link from here nothing bad is known; one whose link
-  // is wanted and lost is down, or cannot be reached.
+  // An entry that this one keeps no link to is assumed to be well. One whose
+  // link is wanted but not ready is down or unreachable.
   return !Entry.Fleet.Wanted.contains(Host.Name);
 }
 
@@ -45,7 +48,7 @@
   const std::vector<EntryHost> All =
       knownEntries(Entry.View.InForce.get(), Entry.Fleet);
   for (const EntryHost &Host : All)
-    if (takesCallers(Entry, Host))
+    if (canTakeCallers(Entry, Host))
       Hosts.push_back(&Host);
   std::ranges::sort(Hosts, std::greater<>{}, [&](const EntryHost *Host) {
     return rendezvousScore(Caller, Host->Name.Value);
@@ -54,7 +57,8 @@
     return Host->Domain == Entry.Fleet.Self.Domain;
   };
   const auto Far = std::stable_partition(Hosts.begin(), Hosts.end(), IsNear);
-  // Those near above the share go last: they fill up when others are few.
+  // Further entries of this domain go last and are used when others are too
+  // few.
   const auto Near = static_cast<size_t>(Far - Hosts.begin());
   if (Near > NearAddresses)
     std::rotate(Hosts.begin() + NearAddresses, Far, Hosts.end());
--- a/packages/core/src/routing/entry_addresses_func.h
+++ b/packages/core/src/routing/entry_addresses_func.h
@@ -1,4 +1,4 @@
-/** @file entry_addresses_func.h Which entries a caller is told to use. */
+/** @file entry_addresses_func.h Entry addresses given to callers. */
 
 #ifndef JACINTHPOND_CORE_ENTRY_ADDRESSES_FUNC_H
 #define JACINTHPOND_CORE_ENTRY_ADDRESSES_FUNC_H
@@ -11,11 +11,11 @@
 namespace jacinthpond {
 
 /**
- * Chooses addresses for a caller: those of entries that take work, two of
- * them near this entry, the others in other domains, so that a domain that
- * goes away takes only a part of what the caller keeps.
+ * Chooses entry addresses for a caller: two in the failure domain of this entry
+ * and the others in other domains, so that the loss of one domain leaves the
+ * caller some of them.
  * @param Entry The state.
- * @param Caller Spreads callers over the entries.
+ * @param Caller Identifies the caller, to spread callers over the entries.
  * @return At most four addresses, in the order in which to try them.
  */
 std::vector<Address> addressesFor(const EntryState &Entry,
--- a/packages/core/src/routing/load_view.cpp
+++ b/packages/core/src/routing/load_view.cpp
@@ -1,4 +1,4 @@
-/** @file load_view.cpp Load of workers as entries learn it from answers. */
+/** @file load_view.cpp Load of workers as reported in their answers. */
 
 #include "routing/load_view_func.h"
 
@@ -8,24 +8,30 @@
 
 namespace {
 
-/** Shortest and longest time for which a refusal steers away. */
-constexpr Millis ShortestAvoid{50};
-constexpr Millis LongestAvoid{1000};
+/** Shortest and longest time for which a worker that refused work is avoided.
+ */
+constexpr Millis MinAvoidTime{50};
+constexpr Millis MaxAvoidTime{1000};
 
+/** A message that reports the load of its sender. */
 template <typename M>
-concept TellsLoad = requires(M m) {
+concept HasLoadReport = requires(M m) {
   m.Load.Busy;
 };
 
-Millis avoidFor(const AttemptFailed &m) {
-  const bool NoRoom =
+/**
+ * How long a worker is avoided after a failed attempt; 0 when it was not
+ * refused for lack of capacity.
+ */
+Millis avoidTime(const AttemptFailed &m) {
+  const bool LacksRoom =
       m.Kind == ErrorKind::Overloaded || m.Kind == ErrorKind::ColdStart;
-  if (!NoRoom)
+  if (!LacksRoom)
     return Millis{0};
-  const auto Longest = static_cast<uint64_t>(LongestAvoid.count());
-  const Millis Told(
+  const auto Longest = static_cast<uint64_t>(MaxAvoidTime.count());
+  const Millis Reported(
       static_cast<int64_t>(std::min(m.RetryAfterMillis, Longest)));
-  return std::max(Told, ShortestAvoid);
+  return std::max(Reported, MinAvoidTime);
 }
 
 } // namespace
@@ -35,36 +41,37 @@
     if (auto *Sent = std::get_if<SendMessage>(&One))
       std::visit(
           [&](auto &m) {
-            if constexpr (TellsLoad<decltype(m)>)
+            if constexpr (HasLoadReport<decltype(m)>)
               m.Load = {Load.Running + Load.Waiting, Load.Limit};
           },
           Sent->Content);
 }
 
-void noteLoad(Membership &Fleet, LinkId Link, const Message &m, TimePoint Now) {
+void recordReportedLoad(Membership &Fleet, LinkId Link, const Message &m,
+                        TimePoint Now) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end())
     return;
   PeerLink &Peer = it->second;
   std::visit(
-      [&](const auto &Told) {
-        if constexpr (TellsLoad<decltype(Told)>) {
-          if (Told.Load.Limit == 0)
+      [&](const auto &Reported) {
+        if constexpr (HasLoadReport<decltype(Reported)>) {
+          if (Reported.Load.Limit == 0)
             return;
-          Peer.Load.Running = Told.Load.Busy;
+          Peer.Load.Running = Reported.Load.Busy;
           Peer.Load.Waiting = 0;
-          Peer.Load.Limit = Told.Load.Limit;
+          Peer.Load.Limit = Reported.Load.Limit;
           Peer.LoadAt = Now;
           Peer.SentSince = 0;
         }
       },
       m);
   if (const auto *Failed = std::get_if<AttemptFailed>(&m))
-    if (const Millis Length = avoidFor(*Failed); Length.count() > 0)
+    if (const Millis Length = avoidTime(*Failed); Length.count() > 0)
       Peer.AvoidUntil = Now + Length;
 }
 
-void noteSent(Membership &Fleet, LinkId Link) {
+void countSentAttempt(Membership &Fleet, LinkId Link) {
   const auto it = Fleet.Links.find(Link);
   if (it != Fleet.Links.end())
     ++it->second.SentSince;
--- a/packages/core/src/routing/load_view_func.h
+++ b/packages/core/src/routing/load_view_func.h
@@ -1,8 +1,9 @@
-/** @file load_view_func.h Load of workers as entries learn it from answers.
+/** @file load_view_func.h Load of workers as reported in their answers.
  *
- * Heartbeats tell load twice a second. Entries that chose by them alone would
- * all send to the worker that was idle then. So every answer tells the load
- * too, and an entry counts what it has sent since it was told.
+ * Heartbeats report load twice a second. Entries that relied on them alone
+ * would all send to the worker that was idle at the last heartbeat. So every
+ * answer reports the load too, and an entry adds the attempts that it has sent
+ * since the last report.
  */
 
 #ifndef JACINTHPOND_CORE_LOAD_VIEW_FUNC_H
@@ -14,28 +15,29 @@
 namespace jacinthpond {
 
 /**
- * Writes an agent's load into the answers that it is about to send.
- * @param Load Its load now.
+ * Fills in an agent's load in the messages that it is about to send.
+ * @param Load The current load.
  * @param Out Effects to change.
  */
 void stampLoad(const WorkerLoad &Load, Effects &Out);
 
 /**
- * Takes the load that an answer tells; a refusal for lack of room keeps the
- * worker out of the choice for a moment.
+ * Records the load that a message reports. A refusal for lack of capacity makes
+ * this entry avoid the worker for a short time.
  * @param Fleet State to change.
  * @param Link Link of the worker.
- * @param m The answer; other messages change nothing.
+ * @param m The message; one that reports no load changes nothing.
  * @param Now Current time.
  */
-void noteLoad(Membership &Fleet, LinkId Link, const Message &m, TimePoint Now);
+void recordReportedLoad(Membership &Fleet, LinkId Link, const Message &m,
+                        TimePoint Now);
 
 /**
- * Counts an attempt that is sent to a worker.
+ * Counts an attempt that was sent to a worker since its last load report.
  * @param Fleet State to change.
  * @param Link Link of the worker.
  */
-void noteSent(Membership &Fleet, LinkId Link);
+void countSentAttempt(Membership &Fleet, LinkId Link);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/routing/retry_budget.cpp
+++ b/packages/core/src/routing/retry_budget.cpp
@@ -1,4 +1,4 @@
-/** @file retry_budget.cpp Bounds on the load that retries add. */
+/** @file retry_budget.cpp Limits the load that retries add. */
 
 #include "routing/retry_budget_func.h"
 
@@ -8,34 +8,36 @@
 
 namespace {
 
-constexpr uint32_t WholeRetry = 100;
+/** What a retry costs, in hundredths of a retry. */
+constexpr uint32_t HundredthsPerRetry = 100;
 
 } // namespace
 
-void earnRetry(RetryBudget &Budget, const ClassName &Class,
-               const TenantName &Tenant, TimePoint Now) {
+void creditFirstAttempt(RetryBudget &Budget, const ClassName &Class,
+                        const TenantName &Tenant, TimePoint Now) {
   auto &Buckets = Budget.Buckets;
   const auto Name = std::pair(Class, Tenant);
   if (!Buckets.contains(Name)) {
     if (Buckets.size() >= MaxRetryBuckets)
       Buckets.erase(std::ranges::min_element(
           Buckets, {}, [](const auto &Row) { return Row.second.LastUsed; }));
-    Buckets[Name].Hundredths = MaxSavedRetries * WholeRetry;
+    Buckets[Name].Hundredths = MaxRetryCredit * HundredthsPerRetry;
   }
   RetryBucket &One = Buckets[Name];
   One.LastUsed = Now;
-  One.Hundredths =
-      std::min(One.Hundredths + EarnedHundredths, MaxSavedRetries * WholeRetry);
+  One.Hundredths = std::min(One.Hundredths + HundredthsPerFirstAttempt,
+                            MaxRetryCredit * HundredthsPerRetry);
 }
 
-bool spendRetry(RetryBudget &Budget, const ClassName &Class,
-                const TenantName &Tenant) {
+bool trySpendRetry(RetryBudget &Budget, const ClassName &Class,
+                   const TenantName &Tenant) {
   const auto it = Budget.Buckets.find({Class, Tenant});
-  if (it == Budget.Buckets.end() || it->second.Hundredths < WholeRetry) {
+  if (it == Budget.Buckets.end() ||
+      it->second.Hundredths < HundredthsPerRetry) {
     ++Budget.Denied;
     return false;
   }
-  it->second.Hundredths -= WholeRetry;
+  it->second.Hundredths -= HundredthsPerRetry;
   return true;
 }
 
--- a/packages/core/src/routing/retry_budget_func.h
+++ b/packages/core/src/routing/retry_budget_func.h
@@ -1,10 +1,11 @@
-/** @file retry_budget_func.h Bounds on the load that retries add.
+/** @file retry_budget_func.h Limits the load that retries add.
  *
- * When back ends fail or refuse, every request that is tried again adds load
- * to those that are left, which then refuse more: the fleet stays down after
- * the fault has gone. First tries earn a share of a retry each, so retries add
- * at most that share to the load, and a small tenant cannot be starved by the
- * retries of a large one.
+ * When back ends fail or refuse work, each retried request adds load to the
+ * remaining ones, which then refuse more, so that the fleet stays overloaded
+ * after the fault is gone. Each first attempt therefore credits a fraction of a
+ * retry, which limits retries to that fraction of the load. Budgets are kept
+ * for each class and workspace, so a large workspace cannot use up the retries
+ * of a small one.
  */
 
 #ifndef JACINTHPOND_CORE_RETRY_BUDGET_FUNC_H
@@ -14,35 +15,35 @@
 
 namespace jacinthpond {
 
-/** What a first try earns: a fifth of a retry. */
-constexpr uint32_t EarnedHundredths = 20;
+/** Credit for a first attempt, in hundredths of a retry: a fifth of one. */
+constexpr uint32_t HundredthsPerFirstAttempt = 20;
 /**
- * Retries saved at most, and those that a new bucket starts with: the answers
- * of a few hosts that die together go on elsewhere at once.
+ * Limit of saved retries, and what a new bucket starts with: enough for the
+ * calls of a few hosts that fail together to continue elsewhere at once.
  */
-constexpr uint32_t MaxSavedRetries = 100;
-/** Buckets kept at most; the one idle longest goes first. */
+constexpr uint32_t MaxRetryCredit = 100;
+/** Limit of buckets; the one that was idle longest is removed first. */
 constexpr size_t MaxRetryBuckets = 4096;
 
 /**
- * Notes a first try.
+ * Credits the budget of a class and workspace for a first attempt.
  * @param Budget State to change.
- * @param Class Its class.
- * @param Tenant Whose.
+ * @param Class Class of the call.
+ * @param Tenant Workspace of the call.
  * @param Now Current time.
  */
-void earnRetry(RetryBudget &Budget, const ClassName &Class,
-               const TenantName &Tenant, TimePoint Now);
+void creditFirstAttempt(RetryBudget &Budget, const ClassName &Class,
+                        const TenantName &Tenant, TimePoint Now);
 
 /**
- * Asks for a retry.
- * @param Budget State to change; the retry is paid for when allowed.
- * @param Class Its class.
- * @param Tenant Whose.
- * @return Whether it may be made.
+ * Takes one retry out of the budget of a class and workspace, if it has one.
+ * @param Budget State to change.
+ * @param Class Class of the call.
+ * @param Tenant Workspace of the call.
+ * @return True when the retry may be made.
  */
-bool spendRetry(RetryBudget &Budget, const ClassName &Class,
-                const TenantName &Tenant);
+bool trySpendRetry(RetryBudget &Budget, const ClassName &Class,
+                   const TenantName &Tenant);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/routing/retry_budget_type.h
+++ b/packages/core/src/routing/retry_budget_type.h
@@ -1,4 +1,4 @@
-/** @file retry_budget_type.h Bounds on the load that retries add. */
+/** @file retry_budget_type.h Limits the load that retries add. */
 
 #ifndef JACINTHPOND_CORE_RETRY_BUDGET_TYPE_H
 #define JACINTHPOND_CORE_RETRY_BUDGET_TYPE_H
@@ -12,16 +12,17 @@
 
 namespace jacinthpond {
 
-/** Token bucket of one class and tenant, in hundredths of a retry. */
+/** Token bucket of one class and workspace, in hundredths of a retry. */
 struct RetryBucket {
-  uint32_t Hundredths = 0; ///< What is left.
-  TimePoint LastUsed;      ///< For forgetting idle ones.
+  uint32_t Hundredths = 0; ///< Remaining credit.
+  TimePoint LastUsed;      ///< Last first attempt; idle buckets are removed.
 };
 
-/** Retries that an entry may still make. */
+/** Remaining retries of an entry. */
 struct RetryBudget {
-  std::map<std::pair<ClassName, TenantName>, RetryBucket> Buckets;
-  uint64_t Denied = 0; ///< Retries that were not made.
+  std::map<std::pair<ClassName, TenantName>, RetryBucket>
+      Buckets;         ///< By class and workspace.
+  uint64_t Denied = 0; ///< Retries refused for lack of budget.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/routing/routing.cpp
+++ b/packages/core/src/routing/routing.cpp
@@ -1,4 +1,4 @@
-/** @file routing.cpp Choice of the worker for a request. */
+/** @file routing.cpp Choice of a worker for a request. */
 
 #include "routing/routing_func.h"
 
@@ -12,31 +12,39 @@
 
 namespace {
 
-/** A warm worker is left when it is busier than its peers by this factor. */
+/**
+ * The preferred worker of a prompt prefix, whose cache is likely warm, is
+ * passed over when its load exceeds the mean by this factor.
+ */
 constexpr double AffinityLoadFactor = 1.25;
 /**
- * Up to this share of its limit it is kept in any case: with little work a
- * single request makes a worker much busier than its peers.
+ * Below this fraction of its limit it is used in any case: under light load a
+ * single request puts a worker far above the mean.
  */
 constexpr double AffinityFreeLoad = 0.5;
-/** Added for a worker that refused: it goes last, but is not given up. */
-constexpr double FullLoad = 1000;
+/**
+ * Added to the relative load of a worker that refused work recently, so that
+ * it is chosen last rather than never.
+ */
+constexpr double AvoidPenalty = 1000;
 
 /**
- * Work at a candidate. What was sent since it last told is not in its word;
- * what is open here may be missing in it too, when the word is older.
+ * Estimated requests at a candidate. Attempts sent since its last load report
+ * are added to it; a report that is older than the attempts open from here is
+ * raised to their number.
  */
-uint32_t busy(const Candidate &One) {
+uint32_t openWork(const Candidate &One) {
   return std::max(One.Load.Running + One.Load.Waiting + One.SentSince,
                   One.Open);
 }
 
-/** Open work relative to what the worker bears, with one request more. */
+/** Load of a worker with one more request, relative to its limit. */
 double relativeLoad(const Candidate &One) {
-  const double Load = (busy(One) + 1.0) / std::max(1U, One.Load.Limit);
-  return One.Avoid ? Load + FullLoad : Load;
+  const double Load = (openWork(One) + 1.0) / std::max(1U, One.Load.Limit);
+  return One.RefusedRecently ? Load + AvoidPenalty : Load;
 }
 
+/** Mean relative load of the candidates. */
 double meanLoad(const std::vector<Candidate> &Candidates) {
   const double Sum = std::accumulate(
       Candidates.begin(), Candidates.end(), 0.0,
@@ -44,16 +52,20 @@
   return Sum / static_cast<double>(Candidates.size());
 }
 
-constexpr size_t Nobody = SIZE_MAX;
+/** Index that stands for no candidate. */
+constexpr size_t NoCandidate = SIZE_MAX;
 
-/** The candidate that a key ranks first, of all others than one. */
-size_t firstRank(const std::vector<Candidate> &Candidates, std::string_view Key,
-                 size_t Except = Nobody) {
-  size_t First = Nobody;
+/**
+ * Index of the candidate with the highest rendezvous score for a key, leaving
+ * one out.
+ */
+size_t highestRanked(const std::vector<Candidate> &Candidates,
+                     std::string_view Key, size_t Except = NoCandidate) {
+  size_t First = NoCandidate;
   uint64_t Best = 0;
   for (size_t n = 0; n < Candidates.size(); ++n) {
     const uint64_t Score = rendezvousScore(Key, Candidates[n].Name.Value);
-    if (n == Except || (First != Nobody && Score <= Best))
+    if (n == Except || (First != NoCandidate && Score <= Best))
       continue;
     First = n;
     Best = Score;
@@ -61,35 +73,39 @@
   return First;
 }
 
-/** Says whether the worker where a prefix is warm may get one more. */
-bool fitsWarm(const std::vector<Candidate> &Candidates, size_t Warm) {
+/** Says whether the preferred worker of a prefix may get one more request. */
+bool canPreferredTakeMore(const std::vector<Candidate> &Candidates,
+                          size_t Preferred) {
   const double Bound =
       std::max(AffinityLoadFactor * meanLoad(Candidates), AffinityFreeLoad);
-  return relativeLoad(Candidates[Warm]) <= Bound;
+  return relativeLoad(Candidates[Preferred]) <= Bound;
 }
 
-/** One of the first Count indices of Order, by hash. */
-size_t pick(const std::vector<size_t> &Order, size_t Count, uint64_t Salt,
-            const char *Which) {
+/** Picks one of the first Count elements of Order by hash. */
+size_t pickByHash(const std::vector<size_t> &Order, size_t Count, uint64_t Salt,
+                  const char *Which) {
   return Order[rendezvousScore(Which, std::to_string(Salt)) % Count];
 }
 
 /**
- * The less busy of two. The first one is near where there is a near one, and
- * stays when both are equal: near work saves the links between domains.
+ * Chooses the less busy of two candidates that are picked by hash. The first is
+ * one in the domain of this entry if there is any, and wins a tie, to save
+ * traffic between domains.
  */
-size_t lessBusyOfTwo(const std::vector<Candidate> &Candidates, uint64_t Salt) {
+size_t chooseLessBusyOfTwo(const std::vector<Candidate> &Candidates,
+                           uint64_t Salt) {
   std::vector<size_t> Order(Candidates.size());
   std::iota(Order.begin(), Order.end(), size_t{0});
-  const auto Far = std::partition(Order.begin(), Order.end(),
-                                  [&](size_t n) { return Candidates[n].Near; });
+  const auto Far = std::partition(Order.begin(), Order.end(), [&](size_t n) {
+    return Candidates[n].InOwnDomain;
+  });
   const auto Near = static_cast<size_t>(Far - Order.begin());
   const size_t First =
-      pick(Order, Near > 0 ? Near : Order.size(), Salt, "first");
+      pickByHash(Order, Near > 0 ? Near : Order.size(), Salt, "first");
   std::erase(Order, First);
   if (Order.empty())
     return First;
-  const size_t Second = pick(Order, Order.size(), Salt, "second");
+  const size_t Second = pickByHash(Order, Order.size(), Salt, "second");
   return relativeLoad(Candidates[Second]) < relativeLoad(Candidates[First])
              ? Second
              : First;
@@ -102,11 +118,11 @@
   if (Candidates.empty())
     return 0;
   if (!AffinityKey.empty()) {
-    const size_t Warm = firstRank(Candidates, AffinityKey);
-    if (fitsWarm(Candidates, Warm))
-      return Warm;
+    const size_t Preferred = highestRanked(Candidates, AffinityKey);
+    if (canPreferredTakeMore(Candidates, Preferred))
+      return Preferred;
   }
-  return lessBusyOfTwo(Candidates, Salt);
+  return chooseLessBusyOfTwo(Candidates, Salt);
 }
 
 size_t chooseForPrompt(const std::vector<Candidate> &Candidates,
@@ -114,13 +130,13 @@
                        const std::function<std::string()> &RequestKey) {
   if (Candidates.empty())
     return 0;
-  const size_t Warm = firstRank(Candidates, AffinityKey);
-  if (fitsWarm(Candidates, Warm) || Candidates.size() == 1)
-    return Warm;
-  const size_t Other = firstRank(Candidates, RequestKey(), Warm);
-  return relativeLoad(Candidates[Other]) < relativeLoad(Candidates[Warm])
+  const size_t Preferred = highestRanked(Candidates, AffinityKey);
+  if (canPreferredTakeMore(Candidates, Preferred) || Candidates.size() == 1)
+    return Preferred;
+  const size_t Other = highestRanked(Candidates, RequestKey(), Preferred);
+  return relativeLoad(Candidates[Other]) < relativeLoad(Candidates[Preferred])
              ? Other
-             : Warm;
+             : Preferred;
 }
 
 size_t chooseAtRandom(const std::vector<Candidate> &Candidates, uint64_t Salt) {
--- a/packages/core/src/routing/worker_choice.cpp
+++ b/packages/core/src/routing/worker_choice.cpp
@@ -1,4 +1,4 @@
-/** @file worker_choice.cpp Workers that an entry may give a call to. */
+/** @file worker_choice.cpp Choice of a worker for a call. */
 
 #include "routing/worker_choice_func.h"
 
@@ -17,16 +17,17 @@
 
 namespace {
 
-/** Bytes of a body that count as its prompt prefix for affinity. */
+/** Length of the start of a body that is its prompt prefix. */
 constexpr size_t AffinityPrefixBytes = 256;
 
-/** True when a worker may get new work of this entry. */
-bool mayTake(const EntryState &Entry, const Worker &Host, const Call &One) {
+/** True when this entry may send a call to a worker. */
+bool canTakeCall(const EntryState &Entry, const Worker &Host,
+                 const Call &ActiveCall) {
   if (!viewIsFresh(Entry.Fleet))
     return false;
   if (Entry.View.InForce->DomainsOut.contains(Host.Domain))
     return false;
-  if (std::ranges::find(One.Tried, Host.Name) != One.Tried.end())
+  if (std::ranges::find(ActiveCall.Tried, Host.Name) != ActiveCall.Tried.end())
     return false;
   const PeerLink *Link = readyLink(Entry.Fleet, Host.Name);
   if (Link == nullptr || Link->Leaving ||
@@ -34,85 +35,98 @@
     return false;
   const bool Serves = Link->Load.State == WorkerState::Serving ||
                       Link->Load.State == WorkerState::Warming;
-  const bool SameWeights =
-      One.Weights.Value.empty() || Link->Load.Weights == One.Weights;
+  const bool SameWeights = ActiveCall.Weights.Value.empty() ||
+                           Link->Load.Weights == ActiveCall.Weights;
   return Serves && SameWeights;
 }
 
-std::string affinityKey(const Call &One) {
-  return One.Asked.Tenant.Value + "/" +
-         One.Asked.Body.substr(0, AffinityPrefixBytes);
+/** Key of the prompt prefix, within its workspace. */
+std::string affinityKey(const Call &ActiveCall) {
+  return ActiveCall.Received.Tenant.Value + "/" +
+         ActiveCall.Received.Body.substr(0, AffinityPrefixBytes);
 }
 
 /**
- * The place of a suspect: one of the two to which it goes before it is one, in
- * a fixed order. Its copies are there already, if they are anywhere.
+ * Chooses a worker for a suspect, a request that was running when a back end
+ * failed: the preferred worker of its prefix, else the candidate that ranks
+ * first for the whole request. chooseForPrompt() sent earlier copies of it to
+ * these two only, so no other back end is put at risk.
  */
-size_t placeOfSuspect(const EntryState &Entry, const WorkClass &Class,
-                      const Call &One, const std::vector<Candidate> &Choice) {
-  const std::string Affinity = affinityKey(One);
+size_t chooseForSuspect(const EntryState &Entry, const WorkClass &Class,
+                        const Call &ActiveCall,
+                        const std::vector<Candidate> &Candidates) {
+  const std::string Affinity = affinityKey(ActiveCall);
   const std::vector<const Worker *> Listed =
       workersOf(*Entry.View.InForce, Class);
-  const auto Warm = std::ranges::max_element(Listed, {}, [&](const Worker *w) {
-    return rendezvousScore(Affinity, w->Name.Value);
-  });
+  const auto Preferred =
+      std::ranges::max_element(Listed, {}, [&](const Worker *w) {
+        return rendezvousScore(Affinity, w->Name.Value);
+      });
   const auto First =
-      Warm == Listed.end()
-          ? Choice.end()
-          : std::ranges::find(Choice, (*Warm)->Name, &Candidate::Name);
-  if (First != Choice.end())
-    return static_cast<size_t>(First - Choice.begin());
+      Preferred == Listed.end()
+          ? Candidates.end()
+          : std::ranges::find(Candidates, (*Preferred)->Name, &Candidate::Name);
+  if (First != Candidates.end())
+    return static_cast<size_t>(First - Candidates.begin());
   const Digest Fingerprint =
-      fingerprintOf(One.Asked.Tenant, One.Asked.Class, One.Asked.Body);
+      fingerprintOf(ActiveCall.Received.Tenant, ActiveCall.Received.Class,
+                    ActiveCall.Received.Body);
   const auto it =
-      std::ranges::max_element(Choice, {}, [&](const Candidate &Each) {
-        return rendezvousScore(Fingerprint.Value, Each.Name.Value);
+      std::ranges::max_element(Candidates, {}, [&](const Candidate &Option) {
+        return rendezvousScore(Fingerprint.Value, Option.Name.Value);
       });
-  return static_cast<size_t>(it - Choice.begin());
+  return static_cast<size_t>(it - Candidates.begin());
 }
 
 } // namespace
 
 std::vector<Candidate> candidatesFor(const EntryState &Entry,
-                                     const WorkClass &Class, const Call &One) {
+                                     const WorkClass &Class,
+                                     const Call &ActiveCall) {
   std::vector<Candidate> Found;
   for (const Worker *Host : workersOf(*Entry.View.InForce, Class)) {
-    if (!mayTake(Entry, *Host, One))
+    if (!canTakeCall(Entry, *Host, ActiveCall))
       continue;
     const PeerLink *Link = readyLink(Entry.Fleet, Host->Name);
-    const auto Open = Entry.OpenAt.find(Host->Name);
+    const auto Open = Entry.OpenByWorker.find(Host->Name);
     Found.push_back({Host->Name, Link->Link, Link->Load, Link->SentSince,
-                     Open == Entry.OpenAt.end() ? 0 : Open->second,
+                     Open == Entry.OpenByWorker.end() ? 0 : Open->second,
                      Host->Domain == Entry.Fleet.Self.Domain,
                      Entry.Fleet.LastTick < Link->AvoidUntil});
   }
   return Found;
 }
 
-size_t chooseFor(const EntryState &Entry, const WorkClass &Class,
-                 const Call &One, const std::vector<Candidate> &Choice,
-                 TimePoint Now) {
-  if (suspicionOf(Entry, One, Now) == Suspicion::RunAlone)
-    return placeOfSuspect(Entry, Class, One, Choice);
-  // Entries started together count alike; their choices must still differ.
+size_t chooseCandidate(const EntryState &Entry, const WorkClass &Class,
+                       const Call &ActiveCall,
+                       const std::vector<Candidate> &Candidates,
+                       TimePoint Now) {
+  if (suspicionOf(Entry, ActiveCall, Now) == Suspicion::RunAlone)
+    return chooseForSuspect(Entry, Class, ActiveCall, Candidates);
+  // The incarnation differs between entries. Attempt numbers alone do not:
+  // entries that were started together count alike.
   const uint64_t Salt = Entry.Fleet.Self.Run.Value + Entry.NextAttempt;
   if (Entry.Config.RandomRouting)
-    return chooseAtRandom(Choice, Salt);
+    return chooseAtRandom(Candidates, Salt);
   if (Class.Kind != BackEndKind::Model)
-    return chooseWorker(Choice, "", Salt);
-  return chooseForPrompt(Choice, affinityKey(One), [&] {
-    return fingerprintOf(One.Asked.Tenant, One.Asked.Class, One.Asked.Body)
+    return chooseWorker(Candidates, "", Salt);
+  return chooseForPrompt(Candidates, affinityKey(ActiveCall), [&] {
+    return fingerprintOf(ActiveCall.Received.Tenant, ActiveCall.Received.Class,
+                         ActiveCall.Received.Body)
         .Value;
   });
 }
 
-Suspicion suspicionOf(const EntryState &Entry, const Call &One, TimePoint Now) {
-  // Digesting every body would cost time for nothing on ordinary days.
+Suspicion suspicionOf(const EntryState &Entry, const Call &ActiveCall,
+                      TimePoint Now) {
+  // Saves the digest of the body while there are no suspects.
   if (Entry.Suspects.Suspects.empty())
     return Suspicion::None;
-  return suspicionOf(
-      Entry.Suspects,
-      fingerprintOf(One.Asked.Tenant, One.Asked.Class, One.Asked.Body), Now);
+  return suspicionOf(Entry.Suspects,
+                     fingerprintOf(ActiveCall.Received.Tenant,
+                                   ActiveCall.Received.Class,
+                                   ActiveCall.Received.Body),
+                     Now);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/routing/worker_choice_func.h
+++ b/packages/core/src/routing/worker_choice_func.h
@@ -1,4 +1,4 @@
-/** @file worker_choice_func.h Workers that an entry may give a call to. */
+/** @file worker_choice_func.h Choice of a worker for a call. */
 
 #ifndef JACINTHPOND_CORE_WORKER_CHOICE_FUNC_H
 #define JACINTHPOND_CORE_WORKER_CHOICE_FUNC_H
@@ -11,36 +11,39 @@
 namespace jacinthpond {
 
 /**
- * Lists the workers that may get a call now.
+ * Lists the workers that a call may be sent to now.
  * @param Entry The entry.
  * @param Class Class of the call.
- * @param One The call.
- * @return Candidates with their load.
+ * @param ActiveCall The call.
+ * @return The workers with their load.
  */
 std::vector<Candidate> candidatesFor(const EntryState &Entry,
-                                     const WorkClass &Class, const Call &One);
+                                     const WorkClass &Class,
+                                     const Call &ActiveCall);
 
 /**
- * Chooses one of the candidates.
+ * Chooses a worker for the next attempt of a call.
  * @param Entry The entry.
  * @param Class Class of the call.
- * @param One The call.
- * @param Choice The candidates.
+ * @param ActiveCall The call.
+ * @param Candidates The candidates.
  * @param Now Current time.
  * @return Index into Choice; Choice.size() when it is empty.
  */
-size_t chooseFor(const EntryState &Entry, const WorkClass &Class,
-                 const Call &One, const std::vector<Candidate> &Choice,
-                 TimePoint Now);
+size_t chooseCandidate(const EntryState &Entry, const WorkClass &Class,
+                       const Call &ActiveCall,
+                       const std::vector<Candidate> &Candidates, TimePoint Now);
 
 /**
- * Says how a call is to be treated.
+ * Says whether a call must run alone or be refused because its request made
+ * back ends fail.
  * @param Entry The entry.
- * @param One The call.
+ * @param ActiveCall The call.
  * @param Now Current time.
- * @return What its record of deaths says.
+ * @return How to treat the call.
  */
-Suspicion suspicionOf(const EntryState &Entry, const Call &One, TimePoint Now);
+Suspicion suspicionOf(const EntryState &Entry, const Call &ActiveCall,
+                      TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/status/status.cpp
+++ b/packages/core/src/status/status.cpp
@@ -1,4 +1,4 @@
-/** @file status.cpp Works out what operators are shown. */
+/** @file status.cpp Builds the status that the administration API shows. */
 
 #include "status/status_func.h"
 
@@ -14,6 +14,7 @@
 
 namespace {
 
+/** Status of this entry's own process. */
 ProcessStatus selfStatus(const EntryState &Entry, TimePoint Now) {
   ProcessStatus Self;
   Self.Name = Entry.Fleet.Self.Name;
@@ -27,6 +28,7 @@
   return Self;
 }
 
+/** Status of another process, as last reported over a ready link. */
 template <typename Host>
 ProcessStatus peerStatus(const EntryState &Entry, const Host &Peer, Role Kind,
                          TimePoint Now) {
@@ -45,6 +47,7 @@
   return One;
 }
 
+/** Status of this entry and of all entries and workers in the document. */
 std::vector<ProcessStatus> allProcesses(const EntryState &Entry,
                                         TimePoint Now) {
   const Document &Doc = *Entry.View.InForce;
@@ -58,6 +61,7 @@
   return All;
 }
 
+/** Status of one worker, with its load if it has a ready link. */
 WorkerStatus workerStatus(const EntryState &Entry, const Worker &Host) {
   WorkerStatus One;
   One.Name = Host.Name;
@@ -72,12 +76,14 @@
   return One;
 }
 
+/** True when a worker may get new requests from this entry. */
 bool mayServeNow(const WorkerStatus &Host) {
   return Host.Seen && !Host.Leaving && takesWork(Host.Load);
 }
 
-std::vector<DomainStatus> domainsOf(const Document &Doc,
-                                    const std::vector<WorkerStatus> &Workers) {
+/** Totals of the given workers for each failure domain. */
+std::vector<DomainStatus>
+domainStatuses(const Document &Doc, const std::vector<WorkerStatus> &Workers) {
   std::map<DomainName, DomainStatus> All;
   for (const EntryHost &Host : Doc.Entries)
     All[Host.Domain];
@@ -99,6 +105,7 @@
   return Listed;
 }
 
+/** Progress of the given workers in loading the wanted weights of a model. */
 ModelStatus modelStatus(const ModelVersion &Model,
                         const std::vector<WorkerStatus> &Workers) {
   ModelStatus One;
@@ -111,13 +118,15 @@
     const bool Has = Host.Load.Weights == Model.Set;
     ++One.Workers;
     One.Loaded += Has ? 1 : 0;
-    // A worker may drop the chunks of a set that its back end has loaded.
+    // A worker may delete the chunks of a set that its back end has loaded, so
+    // it counts as holding all of them.
     One.ChunksHeld += Has ? Model.Chunks.size() : Host.Load.ChunksHeld;
     One.ChunksWanted += Model.Chunks.size();
   }
   return One;
 }
 
+/** Totals of the workers that serve a class. */
 ClassStatus classStatus(const WorkClass &Class, const Document &Doc,
                         const std::vector<WorkerStatus> &Workers) {
   ClassStatus One;
@@ -139,20 +148,25 @@
   return One;
 }
 
+/** Number of open requests at this entry for each workspace. */
 std::map<TenantName, uint32_t> openByTenant(const EntryState &Entry) {
   std::map<TenantName, uint32_t> Open;
   for (const auto &[Id, One] : Entry.Calls)
-    ++Open[One.Asked.Tenant];
+    ++Open[One.Received.Tenant];
   return Open;
 }
 
+/**
+ * Adds the domains, models, classes, workers and workspaces that a team may
+ * see.
+ */
 void addVisible(FleetStatus &Into, const EntryState &Entry,
                 const TeamAccess &Access) {
   const Document &Doc = *Entry.View.InForce;
   for (const Worker &Host : Doc.Workers)
-    if (seesWorker(Access, Doc, Host))
+    if (canSeeWorker(Access, Doc, Host))
       Into.Workers.push_back(workerStatus(Entry, Host));
-  Into.Domains = domainsOf(Doc, Into.Workers);
+  Into.Domains = domainStatuses(Doc, Into.Workers);
   for (const WorkClass &Class : Doc.Classes)
     if (seesClass(Access, Class.Name))
       Into.Classes.push_back(classStatus(Class, Doc, Into.Workers));
@@ -170,6 +184,7 @@
   }
 }
 
+/** What this entry refused: requests, documents and suspects. */
 RefusalStatus refusalStatus(const EntryState &Entry, TimePoint Now) {
   RefusalStatus Status;
   Status.Errors = Entry.Counters.Errors;
--- a/packages/core/src/status/status_func.h
+++ b/packages/core/src/status/status_func.h
@@ -1,4 +1,4 @@
-/** @file status_func.h Works out what operators are shown. */
+/** @file status_func.h Builds the status that the administration API shows. */
 
 #ifndef JACINTHPOND_CORE_STATUS_FUNC_H
 #define JACINTHPOND_CORE_STATUS_FUNC_H
@@ -10,19 +10,20 @@
 namespace jacinthpond {
 
 /**
- * Sums up the fleet as this entry sees it.
+ * Builds the status of the fleet as seen by this entry.
  * @param Entry State of the entry.
- * @param Access What the reader may see.
+ * @param Access What the caller of the API may see.
  * @param Now Current time.
- * @return The summary; empty lists while there is no document.
+ * @return The status, limited to what Access allows; empty lists before the
+ * first document.
  */
 FleetStatus fleetStatus(const EntryState &Entry, const TeamAccess &Access,
                         TimePoint Now);
 
 /**
- * Says whether a worker's load lets it take work.
- * @param Load The load.
- * @return True when it serves, warming or at its full limit.
+ * Says whether a worker is in a state in which it takes work.
+ * @param Load Last load that it reported.
+ * @return True for Warming and Serving.
  */
 bool takesWork(const WorkerLoad &Load);
 
--- a/packages/core/src/status/team_access.cpp
+++ b/packages/core/src/status/team_access.cpp
@@ -1,4 +1,4 @@
-/** @file team_access.cpp Tokens of teams and what they open. */
+/** @file team_access.cpp Access of teams to the administration API. */
 
 #include "status/team_access_func.h"
 
@@ -13,15 +13,16 @@
 
 namespace {
 
-constexpr std::string_view Scheme = "Bearer ";
-/** Longest token that is looked at, in bytes. */
+/** Start of an Authorization header with a token. */
+constexpr std::string_view BearerPrefix = "Bearer ";
+/** Longest token that is accepted, in bytes. */
 constexpr size_t MaxTokenBytes = 512;
 
 /**
- * Compares without an early end. A comparison that stops at the first
- * difference tells by its time how much of a guess was right.
+ * Compares two digests in constant time. A comparison that stops at the first
+ * difference would reveal by its duration how much of a guess was right.
  */
-bool sameDigest(const Digest &A, const Digest &B) {
+bool isSameDigest(const Digest &A, const Digest &B) {
   return A.Value.size() == B.Value.size() &&
          CRYPTO_memcmp(A.Value.data(), B.Value.data(), A.Value.size()) == 0;
 }
@@ -32,16 +33,16 @@
                             std::string_view Authorization) {
   if (Doc == nullptr)
     return fail(ErrorKind::StaleView, "no configuration yet");
-  if (!Authorization.starts_with(Scheme) ||
-      Authorization.size() == Scheme.size())
+  if (!Authorization.starts_with(BearerPrefix) ||
+      Authorization.size() == BearerPrefix.size())
     return fail(ErrorKind::Unauthorized, "no token");
-  const std::string_view Token = Authorization.substr(Scheme.size());
+  const std::string_view Token = Authorization.substr(BearerPrefix.size());
   if (Token.size() > MaxTokenBytes)
     return fail(ErrorKind::Unauthorized, "wrong token");
   const Digest Given = sha256(Token);
   const Team *Found = nullptr;
   for (const Team &One : Doc->Teams)
-    if (sameDigest(One.TokenDigest, Given))
+    if (isSameDigest(One.TokenDigest, Given))
       Found = &One;
   if (Found == nullptr)
     return fail(ErrorKind::Unauthorized, "wrong token");
@@ -57,8 +58,8 @@
   return Access.Operator || Access.Tenants.contains(Tenant);
 }
 
-bool seesWorker(const TeamAccess &Access, const Document &Doc,
-                const Worker &Host) {
+bool canSeeWorker(const TeamAccess &Access, const Document &Doc,
+                  const Worker &Host) {
   return Access.Operator ||
          std::ranges::any_of(Doc.Classes, [&](const WorkClass &Class) {
            return seesClass(Access, Class.Name) && servesClass(Host, Class);
--- a/packages/core/src/status/team_access_func.h
+++ b/packages/core/src/status/team_access_func.h
@@ -1,4 +1,4 @@
-/** @file team_access_func.h Tokens of teams and what they open. */
+/** @file team_access_func.h Access of teams to the administration API. */
 
 #ifndef JACINTHPOND_CORE_TEAM_ACCESS_FUNC_H
 #define JACINTHPOND_CORE_TEAM_ACCESS_FUNC_H
@@ -12,18 +12,18 @@
 namespace jacinthpond {
 
 /**
- * Finds the team of a token.
+ * Finds the team of a token and what it may see.
  * @param Doc Document in force; may be null.
- * @param Authorization Content of the header, "Bearer TOKEN".
+ * @param Authorization Value of the Authorization header, "Bearer TOKEN".
  * @return What the team may see; Unauthorized for a missing or wrong token,
- *         StaleView while there is no document. The failure never repeats the
- *         token.
+ *         StaleView before the first document. The error never contains the
+ * token.
  */
 Result<TeamAccess> accessOf(const Document *Doc,
                             std::string_view Authorization);
 
 /**
- * Says whether a team sees a class of work.
+ * Says whether a team may see a class.
  * @param Access The team's access.
  * @param Class Name of the class.
  * @return True for its own classes, and for operators.
@@ -31,22 +31,23 @@
 bool seesClass(const TeamAccess &Access, const ClassName &Class);
 
 /**
- * Says whether a team sees a tenant.
+ * Says whether a team may see a workspace.
  * @param Access The team's access.
- * @param Tenant Name of the tenant.
- * @return True for its own tenants, and for operators.
+ * @param Tenant Name of the workspace.
+ * @return True for its own workspaces, and for operators.
  */
 bool seesTenant(const TeamAccess &Access, const TenantName &Tenant);
 
 /**
- * Says whether a team sees a worker.
+ * Says whether a team may see a worker.
  * @param Access The team's access.
  * @param Doc Document in force.
  * @param Host The worker.
- * @return True when the worker serves a class that the team sees.
+ * @return True for operators, and when the worker serves a class that the team
+ * may see.
  */
-bool seesWorker(const TeamAccess &Access, const Document &Doc,
-                const Worker &Host);
+bool canSeeWorker(const TeamAccess &Access, const Document &Doc,
+                  const Worker &Host);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/status/team_access_type.h
+++ b/packages/core/src/status/team_access_type.h
@@ -10,12 +10,12 @@
 
 namespace jacinthpond {
 
-/** What the holder of a token may see. */
+/** What the team of a token may see. */
 struct TeamAccess {
   std::string Team;             ///< Name of the team, for logs.
-  bool Operator = false;        ///< Sees everything.
-  std::set<ClassName> Classes;  ///< Classes that it sees.
-  std::set<TenantName> Tenants; ///< Tenants that it sees.
+  bool Operator = false;        ///< May see everything.
+  std::set<ClassName> Classes;  ///< Classes that it may see.
+  std::set<TenantName> Tenants; ///< Workspaces that it may see.
 };
 
 } // namespace jacinthpond
--- a/tests/unit/keyed_interleavings_test.cpp
+++ b/tests/unit/keyed_interleavings_test.cpp
@@ -1,9 +1,10 @@
-/** @file keyed_interleavings_test.cpp Faults between all steps of a booking.
+/** @file keyed_interleavings_test.cpp Faults at every stage of a keyed call.
  *
- * A caller books a slot through one entry. Between two steps of the booking a
- * process dies, sleeps or loses a connection, or the list of workers changes.
- * The caller repeats its key through all entries. No key may run twice in the
- * services' records together, and "not run" must be true.
+ * A keyed call is sent through one entry. At each stage of it a process
+ * restarts or is paused, a connection fails, or the list of workers changes.
+ * The caller then repeats the key through all entries. All services together
+ * must record at most one run of the key, and a call reported as not run must
+ * not have run.
  */
 // Labels: promise-5 promise-6
 
@@ -23,32 +24,34 @@
 
 namespace {
 
-/** How far the first try has come when the fault strikes. */
-enum class When { BeforeSend, StartOnWire, Queued, Running, EndOnWire, Done };
-constexpr std::array WhenNames = {"before send", "start on wire", "queued",
-                                  "running",     "end on wire",   "done"};
+/** Stage that the first call has reached when the fault is injected. */
+enum class Stage { BeforeSend, StartOnWire, Queued, Running, EndOnWire, Done };
+constexpr std::array StageNames = {"before send", "start on wire", "queued",
+                                   "running",     "end on wire",   "done"};
 
-/** What goes wrong. */
-enum class Fault {
+/** Fault to inject. */
+enum class FaultKind {
   None,
   HomeRestarts,
-  HomeGoneAWhile,
-  HomeSleeps,
-  HomeSleepsLong,
+  HomeStartsLate,
+  HomePausedShort,
+  HomePausedLong,
   WireCut,
   WireSilent,
   EntryDies,
-  ListGrows,
-  ListLosesHome
+  WorkerAdded,
+  HomeRemoved
 };
 constexpr std::array FaultNames = {
-    "none",        "home restarts",  "home gone a while", "home sleeps",
-    "sleeps long", "wire cut",       "wire silent",       "entry dies",
-    "list grows",  "list loses home"};
+    "none",        "home restarts",    "home starts late",
+    "home paused", "home paused long", "wire cut",
+    "wire silent", "entry dies",       "worker added",
+    "home removed"};
 
-constexpr size_t Tries = 14;
+/** How often the caller repeats its key. */
+constexpr size_t MaxRepeats = 14;
 
-/** One booking under one fault. */
+/** One keyed call under one fault. */
 struct Booking {
   Mesh All{2, 0, 3};
   std::string Home;
@@ -60,36 +63,36 @@
     All.Doc["retry_horizon_ms"] = 10000;
     All.Doc["version"] = 2;
     All.publish();
-    // Past the horizon, so that calls without a token are taken.
+    // Beyond the retry horizon, so that calls without a token are run.
     All.pass(milliseconds(30000));
     if (WithToken)
       Token = makeHomeToken(All.Entries.at("e0"), ClassName{"bookings"});
-    Key = movingKey();
+    Key = findMovingKey();
     Call One;
-    One.Asked.Class.Value = "bookings";
-    One.Asked.Tenant.Value = "huts";
-    One.Asked.Key.Value = Key;
-    One.Asked.Token = Token;
+    One.Received.Class.Value = "bookings";
+    One.Received.Tenant.Value = "huts";
+    One.Received.Key.Value = Key;
+    One.Received.Token = Token;
     Home = homeOfCall(All.Entries.at("e0"), One).Value;
     All.SlowServices = {"s0", "s1", "s2", "s9"};
   }
 
-  /** Finds a key whose home by list moves when the list grows. */
-  std::string movingKey() const {
+  /** Finds a key that moves to worker s9 when s9 is added to the document. */
+  std::string findMovingKey() const {
     Document Doc = *All.Entries.at("e0").View.InForce;
     Worker More = Doc.Workers.front();
     More.Name.Value = "s9";
     Doc.Workers.push_back(More);
     for (int n = 0;; ++n) {
       const std::string Name = "k" + std::to_string(n);
-      const KeyName Asked{ClassName{"bookings"}, TenantName{"huts"},
-                          IdempotencyKey{Name}};
-      if (homeByList(Doc, Asked) == More.Name)
+      const KeyName MovedKey{ClassName{"bookings"}, TenantName{"huts"},
+                             IdempotencyKey{Name}};
+      if (homeFromDocument(Doc, MovedKey) == More.Name)
         return Name;
     }
   }
 
-  /** Lets the services answer what their agents still wait for. */
+  /** Makes the services answer all calls that live agents wait for. */
   void answerAll() {
     for (size_t n = 0; n < All.Records.size(); ++n) {
       const auto [Agent, Call] = All.Records[n];
@@ -101,93 +104,96 @@
     }
   }
 
-  void strike(Fault What) {
-    switch (What) {
-    case Fault::None:
+  /** Injects a fault. */
+  void injectFault(FaultKind Injected) {
+    switch (Injected) {
+    case FaultKind::None:
       return;
-    case Fault::HomeRestarts:
+    case FaultKind::HomeRestarts:
       All.kill(Home);
       All.startAgent(Home, false);
       return;
-    case Fault::HomeGoneAWhile:
+    case FaultKind::HomeStartsLate:
       All.kill(Home);
       return;
-    case Fault::HomeSleeps:
-    case Fault::HomeSleepsLong:
+    case FaultKind::HomePausedShort:
+    case FaultKind::HomePausedLong:
       All.Paused.insert(Home);
       return;
-    case Fault::WireCut:
+    case FaultKind::WireCut:
       All.cut(All.wire("e0", Home));
       return;
-    case Fault::WireSilent:
+    case FaultKind::WireSilent:
       All.wire("e0", Home).Held = true;
       return;
-    case Fault::EntryDies:
+    case FaultKind::EntryDies:
       All.kill("e0");
       return;
-    case Fault::ListGrows:
+    case FaultKind::WorkerAdded:
       All.startAgent("s9", false);
       All.Doc["workers"].push_back({{"name", "s9"},
                                     {"domain", "d"},
                                     {"agent", All.addressOf("s9")},
                                     {"service", "slots"}});
       break;
-    case Fault::ListLosesHome:
+    case FaultKind::HomeRemoved:
       std::erase_if(All.Doc["workers"].get_ref<Json::array_t &>(),
                     [&](const Json &Row) { return Row["name"] == Home; });
       break;
     }
     All.Doc["version"] = 3;
-    All.publish("e1"); // The other entry learns it when the fault heals.
+    All.publish("e1"); // The other entry gets it when the fault ends.
   }
 
-  void heal(Fault What) {
-    if (What == Fault::HomeGoneAWhile && All.Dead.contains(Home))
+  /** Ends a fault that lasts. */
+  void endFault(FaultKind Injected) {
+    if (Injected == FaultKind::HomeStartsLate && All.Dead.contains(Home))
       All.startAgent(Home, false);
-    if (What == Fault::ListGrows || What == Fault::ListLosesHome)
+    if (Injected == FaultKind::WorkerAdded ||
+        Injected == FaultKind::HomeRemoved)
       if (!All.Dead.contains("e0"))
         All.publish();
     All.Paused.clear();
   }
 
-  /** The first try, with the fault at its place. */
-  void first(When Place, Fault What) {
-    if (Place == When::BeforeSend)
-      strike(What);
-    if (Place == When::StartOnWire)
+  /** Sends the first call and injects the fault at the given stage. */
+  void sendFirstTry(Stage FaultStage, FaultKind Injected) {
+    if (FaultStage == Stage::BeforeSend)
+      injectFault(Injected);
+    if (FaultStage == Stage::StartOnWire)
       All.wire("e0", Home).Held = true;
-    if (Place == When::Queued)
+    if (FaultStage == Stage::Queued)
       All.Agents.at(Home).Gate.Limit = 0;
     if (!All.Dead.contains("e0"))
       All.ask("e0", "bookings", Key, Token);
-    if (Place == When::StartOnWire)
-      release(What);
-    if (Place == When::Queued || Place == When::Running)
-      strike(What);
+    if (FaultStage == Stage::StartOnWire)
+      injectFaultThenDeliver(Injected);
+    if (FaultStage == Stage::Queued || FaultStage == Stage::Running)
+      injectFault(Injected);
     All.Agents.at(Home).Gate.Limit = 16;
-    if (Place == When::EndOnWire)
+    if (FaultStage == Stage::EndOnWire)
       All.wire("e0", Home).Held = true;
-    if (Place == When::EndOnWire || Place == When::Done)
+    if (FaultStage == Stage::EndOnWire || FaultStage == Stage::Done)
       answerAll();
-    if (Place == When::EndOnWire)
-      release(What);
-    if (Place == When::Done)
-      strike(What);
+    if (FaultStage == Stage::EndOnWire)
+      injectFaultThenDeliver(Injected);
+    if (FaultStage == Stage::Done)
+      injectFault(Injected);
   }
 
-  /** Strikes while the wire holds a message that then comes late. */
-  void release(Fault What) {
+  /** Injects the fault while the wire holds a message, then delivers it. */
+  void injectFaultThenDeliver(FaultKind Injected) {
     auto &Wire = All.wire("e0", Home);
-    strike(What);
-    Wire.Held = What == Fault::WireSilent;
+    injectFault(Injected);
+    Wire.Held = Injected == FaultKind::WireSilent;
     All.pump();
   }
 
-  /** Repeats as docs/CALLERS.md asks for; true when an answer came. */
-  bool repeat(Fault What) {
-    for (size_t n = 0; n < Tries; ++n) {
-      if (n == (What == Fault::HomeSleepsLong ? Tries / 2 : 2))
-        heal(What);
+  /** Repeats the key as docs/CALLERS.md asks for; true when an answer came. */
+  bool retryUntilAnswered(FaultKind Injected) {
+    for (size_t n = 0; n < MaxRepeats; ++n) {
+      if (n == (Injected == FaultKind::HomePausedLong ? MaxRepeats / 2 : 2))
+        endFault(Injected);
       const std::string Entry =
           All.Dead.contains("e0") || n % 2 == 0 ? "e1" : "e0";
       const uint64_t Id = All.ask(Entry, "bookings", Key, Token);
@@ -200,7 +206,7 @@
       if (End.Whole)
         return true;
       if (End.Executed == Ran::No)
-        BOOST_TEST(All.Records.empty(), "told not run, but it ran");
+        BOOST_TEST(All.Records.empty(), "reported as not run, but it ran");
       if (!End.Token.empty())
         Token = End.Token;
     }
@@ -212,32 +218,33 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(NoKeyRunsTwiceWhateverFailsBetweenTwoSteps) {
+BOOST_AUTO_TEST_CASE(NoKeyRunsTwiceAfterAFaultAtAnyStep) {
   for (const bool WithToken : {true, false}) {
     size_t Count = 0;
     size_t Answers = 0;
-    for (size_t w = 0; w < WhenNames.size(); ++w)
+    for (size_t w = 0; w < StageNames.size(); ++w)
       for (size_t f = 0; f < FaultNames.size(); ++f)
-        BOOST_TEST_CONTEXT(WhenNames.at(w)
+        BOOST_TEST_CONTEXT(StageNames.at(w)
                            << ", " << FaultNames.at(f)
-                           << (WithToken ? ", token" : ", list")) {
+                           << (WithToken ? ", token" : ", no token")) {
           Booking One(WithToken);
-          One.first(static_cast<When>(w), static_cast<Fault>(f));
+          One.sendFirstTry(static_cast<Stage>(w), static_cast<FaultKind>(f));
           ++Count;
-          const bool Answer = One.repeat(static_cast<Fault>(f));
+          const bool Answer = One.retryUntilAnswered(static_cast<FaultKind>(f));
           Answers += Answer ? 1 : 0;
           if (!Answer)
-            BOOST_TEST_MESSAGE("unanswered: " << WhenNames.at(w) << ", "
+            BOOST_TEST_MESSAGE("unanswered: " << StageNames.at(w) << ", "
                                               << FaultNames.at(f));
           BOOST_TEST(One.All.Records.size() <= 1U);
         }
-    BOOST_TEST_MESSAGE((WithToken ? "token: " : "list: ")
+    BOOST_TEST_MESSAGE((WithToken ? "token: " : "no token: ")
                        << Answers << " of " << Count << " answered");
   }
 }
 
-// A token is cut or changed on its way: it must not name another home.
-BOOST_AUTO_TEST_CASE(DamagedTokensAreRefused) {
+// A token that is truncated or altered in transit must be rejected, or it might
+// name another home.
+BOOST_AUTO_TEST_CASE(DamagedTokensAreRejected) {
   HomeToken Token;
   Token.Class.Value = "bookings";
   Token.Homes = {{HostName{"s0"}, Incarnation{7}, 1},
@@ -256,9 +263,9 @@
   }
 }
 
-// A home sleeps through the time in which its records expire. The token of
-// such a record must have ended with it, or the key would run again.
-BOOST_AUTO_TEST_CASE(TokensEndNoLaterThanRecords) {
+// A home is paused while its records expire. The token of an expired record
+// must be invalid too, or the key would run again.
+BOOST_AUTO_TEST_CASE(TokensExpireNoLaterThanRecords) {
   for (const int Minutes : {1, 9, 11, 19, 21, 29, 31, 45, 300}) {
     Mesh All(1, 0, 1);
     const std::string Token =
@@ -273,8 +280,9 @@
   }
 }
 
-// A key comes again with another body, while the first runs and after.
-BOOST_AUTO_TEST_CASE(OtherBodyUnderOneKeyIsAConflict) {
+// A key comes again with another body, both while the first call runs and
+// after.
+BOOST_AUTO_TEST_CASE(SameKeyWithAnotherBodyIsAConflict) {
   Mesh All(1, 0, 1);
   All.SlowServices = {"s0"};
   const std::string Token =
@@ -288,29 +296,30 @@
   BOOST_TEST(All.Records.size() == 1U);
 }
 
-// More answers come than a home may hold: the oldest is lost, never its key.
-BOOST_AUTO_TEST_CASE(MemoryOfAnswersIsBounded) {
+// More answers come than a home may store: the oldest answers are dropped, but
+// the records of their keys stay.
+BOOST_AUTO_TEST_CASE(StoredAnswersAreBounded) {
   const TimePoint Now{std::chrono::hours(1)};
-  KeyBook Book = makeKeyBook(Now);
+  KeyBook Store = makeKeyBook(Now);
   Document Doc;
   const std::string Large(size_t{1} << 20U, 'x');
   for (size_t n = 0; n < 40; ++n) {
     const KeyName Key{ClassName{"c"}, TenantName{"t"},
                       IdempotencyKey{std::to_string(n)}};
-    openKey(Book, Doc, {Key, "", Digest{"b"}}, AttemptId{"a"}, Now);
-    closeKey(Book, Key, ServiceAnswer{200, Large});
+    openKey(Store, Doc, {Key, "", Digest{"b"}}, AttemptId{"a"}, Now);
+    closeKey(Store, Key, ServiceAnswer{200, Large});
   }
-  BOOST_TEST(Book.AnswerBytes <= MaxAnswerBytes);
-  BOOST_TEST(Book.Records.size() == 40U);
-  expireKeys(Book, Incarnation{1}, Now + std::chrono::hours(1));
-  BOOST_TEST(Book.Records.empty());
-  BOOST_TEST(Book.AnswerBytes == 0U);
+  BOOST_TEST(Store.AnswerBytes <= MaxAnswerBytes);
+  BOOST_TEST(Store.Records.size() == 40U);
+  expireKeys(Store, Incarnation{1}, Now + std::chrono::hours(1));
+  BOOST_TEST(Store.Records.empty());
+  BOOST_TEST(Store.AnswerBytes == 0U);
 }
 
-// The only home of a key has no room for it. The caller is told "not run" and
-// gets another token, whose text is that of the old one: the key is refused as
-// "refused before" for as long as the token lasts.
-BOOST_AUTO_TEST_CASE(ATokenGivenForARefusedKeyIsAnotherOne) {
+// The only home of a key refuses it for lack of capacity, and the caller gets
+// another token. If that had the same text as the old one, the home would
+// refuse the key as "refused before" until the token expires.
+BOOST_AUTO_TEST_CASE(ARefusedKeyGetsADifferentToken) {
   Mesh All{1, 0, 1};
   All.SlowServices = {"s0"};
   AgentState &Home = All.Agents.at("s0");
--- a/tests/unit/leaving_entry_test.cpp
+++ b/tests/unit/leaving_entry_test.cpp
@@ -1,4 +1,4 @@
-/** @file leaving_entry_test.cpp Bookings that come to an entry that leaves. */
+/** @file leaving_entry_test.cpp Keyed calls to an entry that shuts down. */
 // Labels: promise-5 promise-6 promise-8
 
 #include "attempts/keyed_call_func.h"
@@ -13,17 +13,20 @@
 
 namespace {
 
-/** Two entries and one service, e0 about to leave. */
-struct Leaving {
+/** Two entries and one service; the test shuts down e0. */
+struct LeavingEntry {
+  /** A home token from e0. */
   std::string token() {
     return makeHomeToken(All.Entries.at("e0"), ClassName{"bookings"});
   }
-  void leave(milliseconds Asking = milliseconds(2000)) {
+  /** Begins the shutdown of e0. */
+  void stopEntry(milliseconds HomeQueryTime = milliseconds(2000)) {
     Effects Out;
-    entryStop(All.Entries.at("e0"), All.Now, Asking, Out);
+    entryStop(All.Entries.at("e0"), All.Now, HomeQueryTime, Out);
     All.perform("e0", Out);
     All.pump();
   }
+  /** Sends a keyed call and gives its final result. */
   Final book(const std::string &Entry, const std::string &With) {
     return All.Finals[All.ask(Entry, "bookings", "k", With)];
   }
@@ -33,20 +36,19 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(Entry, Leaving)
+BOOST_FIXTURE_TEST_SUITE(Entry, LeavingEntry)
 
-// An entry is stopped as planned while callers book through it on connections
-// that they keep. It refuses their bookings, and tells each of them that it may
-// have run, though it could ask the home of the key. Whoever does not repeat
-// the booking has to look it up at the service.
-BOOST_AUTO_TEST_CASE(ABookingThatItRefusesIsKnownNotToHaveRun) {
+// An entry that shuts down refuses bookings that come on open connections. It
+// must ask the home of the key first: an answer of "unknown" would force
+// callers to look the booking up at the service.
+BOOST_AUTO_TEST_CASE(ARefusedBookingIsReportedAsNotRun) {
   const std::string Token = token();
-  leave();
+  stopEntry();
   const Final Refused = book("e0", Token);
   BOOST_TEST((Refused.Kind == ErrorKind::Leaving));
   BOOST_TEST((Refused.Executed == Ran::No));
   BOOST_TEST(All.Records.empty());
-  // "Not run" holds: the old token has become void, whoever comes with it.
+  // It stays not run: the home refuses the key with the old token at any entry.
   const Final Old = book("e1", Token);
   BOOST_TEST((Old.Executed == Ran::No));
   BOOST_TEST(All.Records.empty());
@@ -55,25 +57,27 @@
   BOOST_TEST(All.Records.size() == 1U);
 }
 
+// A repeat of a completed booking gets the stored answer from the home, also
+// through an entry that shuts down.
 BOOST_AUTO_TEST_CASE(ABookingThatRanGetsItsAnswer) {
   const std::string Token = token();
   const Final First = book("e1", Token);
   BOOST_REQUIRE(First.Whole);
-  leave();
+  stopEntry();
   const Final Again = book("e0", Token);
   BOOST_TEST(Again.Whole);
   BOOST_TEST(Again.Text == First.Text);
   BOOST_TEST(All.Records.size() == 1U);
 }
 
-// A repeat comes while the first try runs. It gets the answer when that comes
-// soon; the entry's end does not wait for it.
-BOOST_AUTO_TEST_CASE(ABookingThatRunsIsWaitedForAWhileOnly) {
+// A repeat comes while the first call runs. The entry waits a limited time for
+// the answer, so that its shutdown is not held up.
+BOOST_AUTO_TEST_CASE(WaitingForARunningBookingIsBounded) {
   All.SlowServices = {"s0"};
   const std::string Token = token();
   All.ask("e1", "bookings", "k", Token);
   BOOST_REQUIRE(All.Records.size() == 1U);
-  leave();
+  stopEntry();
   const uint64_t Repeat = All.ask("e0", "bookings", "k", Token);
   BOOST_TEST(!All.Finals.contains(Repeat));
   All.pass(milliseconds(1100));
@@ -83,20 +87,20 @@
   BOOST_TEST(All.Records.size() == 1U);
 }
 
-// The home cannot be asked, or the time for asking is over: then the entry does
-// not know, and says so at once.
-BOOST_AUTO_TEST_CASE(WithoutItsHomeABookingStaysUnknown) {
+// When the home cannot be asked, or the time for asking is over, the entry
+// reports "unknown" at once.
+BOOST_AUTO_TEST_CASE(WithoutItsHomeTheOutcomeIsUnknown) {
   const std::string Token = token();
-  leave();
+  stopEntry();
   All.kill("s0");
   const Final Alone = book("e0", Token);
   BOOST_TEST((Alone.Kind == ErrorKind::Leaving));
   BOOST_TEST((Alone.Executed == Ran::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(AfterTheTimeForAskingABookingStaysUnknown) {
+BOOST_AUTO_TEST_CASE(AfterTheHomeQueryTimeTheOutcomeIsUnknown) {
   const std::string Token = token();
-  leave(milliseconds(300));
+  stopEntry(milliseconds(300));
   All.pass(milliseconds(300));
   const Final Late = book("e0", Token);
   BOOST_TEST((Late.Kind == ErrorKind::Leaving));
@@ -104,10 +108,10 @@
   BOOST_TEST(All.Records.empty());
 }
 
-// Without a token the home would bar the key for seconds, and the caller could
-// not go on elsewhere at once.
-BOOST_AUTO_TEST_CASE(WithoutATokenNoHomeIsAsked) {
-  leave();
+// Without a token the home would refuse the key for seconds, and the caller
+// could not continue elsewhere at once.
+BOOST_AUTO_TEST_CASE(WithoutATokenTheHomeIsNotQueried) {
+  stopEntry();
   const Final Refused = book("e0", "");
   BOOST_TEST((Refused.Kind == ErrorKind::Leaving));
   BOOST_TEST((Refused.Executed == Ran::Unknown));
--- a/tests/unit/one_entry.h
+++ b/tests/unit/one_entry.h
@@ -1,4 +1,6 @@
-/** @file one_entry.h An entry whose peers, service and clock the test plays. */
+/** @file one_entry.h An entry whose peers, configuration service and clock are
+ * simulated by the test.
+ */
 
 #ifndef JACINTHPOND_TESTS_UNIT_ONE_ENTRY_H
 #define JACINTHPOND_TESTS_UNIT_ONE_ENTRY_H
@@ -13,7 +15,10 @@
 
 namespace jacinthpond {
 
-/** Four entries, all in domain d; "x" tells two documents apart. */
+/**
+ * A document with entries a, b, c and e and worker w, all in domain d. The
+ * workspace is named x, to make documents of the same version differ.
+ */
 inline std::string document(uint64_t Version, const std::string &x = "x") {
   std::string Text = "{\"version\": " + std::to_string(Version) +
                      ", \"tenants\": [{\"name\": \"" + x +
@@ -30,7 +35,7 @@
     "domain": "d", "agent": "127.0.0.1:3", "model": "t"}]})";
 }
 
-/** One entry whose peers are played by the test. */
+/** Entry a; the test simulates its peers. */
 struct OneEntry {
   OneEntry() {
     Settings Config;
@@ -45,11 +50,12 @@
     State = makeEntry(Config, Incarnation{7}, Now);
   }
 
+  /** Handles a successful read of the configuration service. */
   void read(const std::string &Text) {
     entryConfigRead(State, {Text, {}}, Now, Now, Out);
   }
 
-  /** Lets time pass in ticks of the usual length. */
+  /** Advances the clock in ticks of 50 ms. */
   void pass(Millis Time) {
     for (Millis n{0}; n < Time; n += Millis{50}) {
       Now += Millis{50};
@@ -57,7 +63,7 @@
     }
   }
 
-  /** The peer of a wanted link says hello. */
+  /** Opens a wanted link and receives the first message of its peer. */
   LinkId greet(const std::string &Name, uint64_t Version, bool Fresh) {
     const LinkId Link = *State.Fleet.Wanted.at(HostName{Name}).Link;
     entryLinkOpened(State, Link, Now, Out);
@@ -65,18 +71,19 @@
     Peer.Sender = Name == "w" ? Role::Agent : Role::Entry;
     Peer.Run.Value = 11;
     Peer.Name.Value = Name;
-    Peer.Domain.Value = "d"; // As document() says.
+    Peer.Domain.Value = "d"; // As in document().
     Peer.Version.Value = Version;
     Peer.Fresh = Fresh;
     entryMessage(State, Link, Peer, Now, Out);
     return Link;
   }
 
+  /** Receives a document from a peer; empty text for no newer one. */
   void push(LinkId Link, const std::string &Text, bool Fresh) {
     entryMessage(State, Link, ConfigPush{Text, Fresh}, Now, Out);
   }
 
-  /** All peers say hello and answer the first question. */
+  /** Opens the links to all peers, which have no newer document. */
   void joinAll(uint64_t Version) {
     pass(Millis{50}); // Opens the links.
     for (const char *Name : {"b", "c", "e", "w"})
@@ -84,6 +91,7 @@
     pass(Millis{100});
   }
 
+  /** Number of requests for a document sent to peers, probes aside. */
   size_t pullsSent() const {
     return static_cast<size_t>(std::ranges::count_if(Out, [](const Effect &e) {
       const auto *Sent = std::get_if<SendMessage>(&e);
@@ -93,11 +101,12 @@
     }));
   }
 
+  /** The link to a peer. */
   LinkId linkOf(const std::string &Name) const {
     return *State.Fleet.Wanted.at(HostName{Name}).Link;
   }
 
-  /** A heartbeat of a peer; the worker says that it serves. */
+  /** The next heartbeat of a peer; worker w reports that it is serving. */
   Heartbeat beat(const std::string &Name) {
     Heartbeat Beat;
     Beat.Sequence = ++Beats;
@@ -110,26 +119,29 @@
     return Beat;
   }
 
+  /** Receives a message from a peer. */
   void hear(const std::string &Name, const Message &m) {
     entryMessage(State, linkOf(Name), m, Now, Out);
   }
 
-  /** Asks for work; gives the error, or nothing when it was sent on. */
+  /** Sends a call; gives its error, or nothing when it was sent on. */
   std::optional<ErrorKind> ask() {
     Out.clear();
-    CallRequest Asked;
-    Asked.Call.Value = ++Calls;
-    Asked.Class.Value = "r";
-    Asked.Tenant.Value = "x";
-    entryCall(State, Asked, Now, Out);
+    CallRequest Request;
+    Request.Call.Value = ++Calls;
+    Request.Class.Value = "r";
+    Request.Tenant.Value = "x";
+    entryCall(State, Request, Now, Out);
     for (const Effect &e : Out)
       if (const auto *Error = std::get_if<CallError>(&e);
-          Error != nullptr && Error->Call == Asked.Call)
+          Error != nullptr && Error->Call == Request.Call)
         return Error->Why.Kind;
     return std::nullopt;
   }
 
+  /** Version of the document in force. */
   uint64_t version() const { return versionInForce(State.View).Value; }
+  /** True while the configuration of the entry is fresh. */
   bool fresh() const { return viewIsFresh(State.Fleet); }
 
   TimePoint Now{std::chrono::hours{1}};
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -1,4 +1,4 @@
-/** @file routing_test.cpp Choice of a worker, and load learnt from answers. */
+/** @file routing_test.cpp Choice of a worker, and load reported in answers. */
 // Labels: promise-2
 
 #include "routing/load_view_func.h"
@@ -14,6 +14,7 @@
 
 namespace {
 
+/** Idle candidates m0, m1 and so on. */
 std::vector<Candidate> workers(size_t Count, uint32_t Limit = 16) {
   std::vector<Candidate> All(Count);
   for (size_t n = 0; n < Count; ++n) {
@@ -25,9 +26,10 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(EightEntriesWithOneStaleViewDoNotHerd) {
-  // All see worker 0 idle and the others half busy, and learn nothing new.
-  size_t AtIdle = 0;
+BOOST_AUTO_TEST_CASE(EntriesWithTheSameStaleViewSpreadTheirRequests) {
+  // Eight entries see worker 0 idle and the others half busy, and get no new
+  // load reports.
+  size_t SentToIdle = 0;
   for (uint64_t Entry = 0; Entry < 8; ++Entry) {
     auto View = workers(6);
     std::ranges::for_each(View, [](Candidate &One) { One.Load.Running = 8; });
@@ -35,15 +37,16 @@
     for (uint64_t n = 0; n < 10; ++n) {
       const size_t To = chooseWorker(View, "", Entry * 1000003 + n);
       ++View[To].SentSince;
-      AtIdle += To == 0 ? 1 : 0;
+      SentToIdle += To == 0 ? 1 : 0;
     }
   }
-  // 80 requests, a third by two choices; the limit of one worker is 16.
-  BOOST_TEST(AtIdle <= 40U);
-  BOOST_TEST(AtIdle >= 14U);
+  // Two random choices send about a third of the 80 requests to worker 0. The
+  // limit of one worker is 16.
+  BOOST_TEST(SentToIdle <= 40U);
+  BOOST_TEST(SentToIdle >= 14U);
 }
 
-BOOST_AUTO_TEST_CASE(ColdWorkersGetLittle) {
+BOOST_AUTO_TEST_CASE(ColdWorkersGetFewRequests) {
   auto View = workers(4);
   View[0].Load.Limit = 2;
   std::array<int, 4> Got{};
@@ -55,7 +58,7 @@
   BOOST_TEST(Got[0] <= 3);
 }
 
-BOOST_AUTO_TEST_CASE(WarmPrefixIsKeptUpToTheBound) {
+BOOST_AUTO_TEST_CASE(WarmWorkerIsKeptUntilItIsOverloaded) {
   auto View = workers(6);
   const size_t Warm = chooseWorker(View, "huts/prompt", 1);
   View[Warm].Load.Running = 7;
@@ -67,9 +70,9 @@
   BOOST_TEST(chooseWorker(View, "huts/prompt", 4) == Warm);
 }
 
-BOOST_AUTO_TEST_CASE(NearFirstWhenEqual) {
+BOOST_AUTO_TEST_CASE(PrefersOwnDomainAtEqualLoad) {
   auto View = workers(6);
-  View[3].Near = true;
+  View[3].InOwnDomain = true;
   for (uint64_t n = 0; n < 20; ++n)
     BOOST_TEST(chooseWorker(View, "", n) == 3U);
   View[3].Load.Running = 16;
@@ -77,7 +80,7 @@
     BOOST_TEST(chooseWorker(View, "", n) != 3U);
 }
 
-BOOST_AUTO_TEST_CASE(AnswersTellLoadAndRefusalsSteerAway) {
+BOOST_AUTO_TEST_CASE(AnswersUpdateLoadAndRefusalsDivertRequests) {
   const TimePoint Now{Millis{5000}};
   Effects Out{SendMessage{LinkId{1}, AttemptFailed{}}};
   WorkerLoad Load;
@@ -91,15 +94,15 @@
   Failed.RetryAfterMillis = 400;
   Membership Fleet;
   PeerLink &Peer = Fleet.Links[LinkId{1}];
-  noteSent(Fleet, LinkId{1});
+  countSentAttempt(Fleet, LinkId{1});
   BOOST_TEST(Peer.SentSince == 1U);
-  noteLoad(Fleet, LinkId{1}, Failed, Now);
+  recordReportedLoad(Fleet, LinkId{1}, Failed, Now);
   BOOST_TEST(Peer.SentSince == 0U);
   BOOST_TEST(Peer.Load.Running == 5U);
   BOOST_TEST(Peer.Load.Limit == 4U);
   BOOST_TEST((Peer.AvoidUntil == Now + Millis{400}));
   auto View = workers(2);
-  View[0].Avoid = true;
+  View[0].RefusedRecently = true;
   View[1].Load.Running = 40;
   BOOST_TEST(chooseWorker(View, "", 1) == 1U);
 }
--- a/tests/unit/status_test.cpp
+++ b/tests/unit/status_test.cpp
@@ -1,4 +1,5 @@
-/** @file status_test.cpp The summary for operators, and changes of documents.
+/** @file status_test.cpp Status of the fleet, and the list of changes between
+ * documents.
  */
 // Labels: product
 
@@ -12,10 +13,11 @@
 
 namespace {
 
+/** Access of an operator. */
 const TeamAccess Everything{"ops", true, {}, {}};
 
-/** An entry that has heard of half of its workers. */
-EntryState entryBefore(size_t Workers, size_t Classes) {
+/** An entry that has a ready link to every other worker. Domain d0 is out. */
+EntryState entryWithHalfTheWorkersLinked(size_t Workers, size_t Classes) {
   auto Doc = std::make_shared<Document>();
   EntryState Entry;
   Doc->Version.Value = 5;
@@ -57,9 +59,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(TheSummaryAddsUp) {
-  const FleetStatus All =
-      fleetStatus(entryBefore(40, 2), Everything, TimePoint{});
+BOOST_AUTO_TEST_CASE(TotalsMatchTheWorkers) {
+  const FleetStatus All = fleetStatus(entryWithHalfTheWorkersLinked(40, 2),
+                                      Everything, TimePoint{});
   BOOST_TEST(All.Workers.size() == 40U);
   BOOST_TEST(All.Processes.size() == 41U);
   BOOST_TEST(All.Domains.size() == 10U);
@@ -67,8 +69,8 @@
   BOOST_TEST(All.Domains[0].Serving == 4U);
   BOOST_TEST(All.Domains[0].Running == 12U);
   BOOST_TEST(All.Domains[1].Unseen == 4U);
-  // Class c0 has the 20 even workers; the 4 of the domain that is out do not
-  // count as serving.
+  // Class c0 has the 20 even workers; 4 of them are in the domain that is out
+  // and do not count as serving.
   BOOST_TEST(All.Classes[0].Workers == 20U);
   BOOST_TEST(All.Classes[0].Serving == 16U);
   BOOST_TEST(All.Classes[0].Limit == 128U);
@@ -79,27 +81,28 @@
 
 BOOST_AUTO_TEST_CASE(ATeamSeesOnlyItsClasses) {
   const TeamAccess Own{"one", false, {ClassName{"c1"}}, {}};
-  const FleetStatus Seen = fleetStatus(entryBefore(40, 2), Own, TimePoint{});
+  const FleetStatus Seen =
+      fleetStatus(entryWithHalfTheWorkersLinked(40, 2), Own, TimePoint{});
   BOOST_TEST(Seen.Workers.size() == 20U);
   BOOST_TEST(Seen.Classes.size() == 1U);
   BOOST_TEST(Seen.Models.size() == 1U);
   BOOST_TEST(Seen.Processes.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ALargeFleetIsSummedUpQuickly) {
-  const EntryState Entry = entryBefore(1800, 20);
+BOOST_AUTO_TEST_CASE(StatusOfALargeFleetIsComputedQuickly) {
+  const EntryState Entry = entryWithHalfTheWorkersLinked(1800, 20);
   const auto Begin = std::chrono::steady_clock::now();
   const FleetStatus All = fleetStatus(Entry, Everything, TimePoint{});
   const std::chrono::duration<double, std::milli> Took =
       std::chrono::steady_clock::now() - Begin;
   BOOST_TEST_MESSAGE("1800 workers, 20 classes: " << Took.count() << " ms");
   BOOST_TEST(All.Workers.size() == 1800U);
-  // The control thread does nothing else meanwhile; heartbeats wait for it.
+  // The control thread builds the status, and heartbeats wait for it.
   BOOST_TEST(Took.count() < 200);
 }
 
 BOOST_AUTO_TEST_CASE(ChangesAreListedByName) {
-  const EntryState Entry = entryBefore(4, 2);
+  const EntryState Entry = entryWithHalfTheWorkersLinked(4, 2);
   Document Next = *Entry.View.InForce;
   Next.Version.Value = 6;
   Next.Models[0].Set.Value = "new";
--- a/tests/unit/team_access_test.cpp
+++ b/tests/unit/team_access_test.cpp
@@ -1,4 +1,6 @@
-/** @file team_access_test.cpp Tokens of teams; what a metrics page shows. */
+/** @file team_access_test.cpp Access of teams by token, and to the metrics
+ * page.
+ */
 // Labels: product
 
 #include "base/hash_func.h"
@@ -13,7 +15,9 @@
 
 namespace {
 
-DocumentPtr twoTeams() {
+/** A document with an operator team and one that may see workspace huts only.
+ */
+DocumentPtr documentWithTwoTeams() {
   const std::string Text =
       R"({"version": 1, "models": [], "classes": [
             {"name": "bookings", "service": "slots"},
@@ -32,8 +36,8 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(OnlyTheRightTokenOpens) {
-  const DocumentPtr Doc = twoTeams();
+BOOST_AUTO_TEST_CASE(OnlyAValidTokenGrantsAccess) {
+  const DocumentPtr Doc = documentWithTwoTeams();
   struct Case {
     const char *Header;
     const char *Team; ///< Empty: refused.
@@ -55,7 +59,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AMetricsPageNamesTenantsOnlyToTheirTeam) {
-  const DocumentPtr Doc = twoTeams();
+  const DocumentPtr Doc = documentWithTwoTeams();
   TrafficMetrics Timings;
   for (const char *Tenant : {"huts", "clubs", "made-up"})
     Timings.observe(Timing::Whole, Doc.get(), TenantName{Tenant},
