--- a/packages/core/src/attempts/entry.cpp
+++ b/packages/core/src/attempts/entry.cpp
@@ -81,7 +81,8 @@
                               " version=" + Version});
 }
 
-/** Finds the peer of a link that is still being opened. */
+/** Finds the peer of a link that is still being opened; nothing for other
+ * links. */
 std::optional<HostName> peerOfOpeningLink(const Membership &Fleet,
                                           LinkId Link) {
   const auto it = Fleet.Links.find(Link);
--- a/packages/core/src/attempts/entry_func.h
+++ b/packages/core/src/attempts/entry_func.h
@@ -52,8 +52,8 @@
                      Effects &Out);
 
 /**
- * Handles a link that has closed or could not be opened: marks its attempts as
- * lost.
+ * Handles a link that has closed: marks its attempts as lost. When it could not
+ * be opened, the lost attempts at its peer are retried elsewhere.
  * @param Entry State to change.
  * @param Link The link.
  * @param Now Current time.
--- a/packages/core/src/attempts/home_token.cpp
+++ b/packages/core/src/attempts/home_token.cpp
@@ -98,23 +98,23 @@
 }
 
 Result<HomeToken> readToken(std::string_view Text) {
-  const auto invalidToken = [] {
+  const auto InvalidToken = [] {
     return fail(ErrorKind::BadRequest, "X-Home-Token is cut or changed");
   };
   if (Text.size() <= ChecksumDigits)
-    return invalidToken();
+    return InvalidToken();
   const std::string Bytes =
       fromHex(Text.substr(0, Text.size() - ChecksumDigits));
   if (Bytes.empty() ||
       checksum(Bytes) != Text.substr(Text.size() - ChecksumDigits))
-    return invalidToken();
+    return InvalidToken();
   // Anyone can make a token with a valid checksum, so its content is untrusted.
   const Json Value = readCbor(Bytes, {MaxTokenDepth, MaxTokenHomes});
   const bool IsValid = Value.is_array() && Value.size() == 3 &&
                        Value[0].is_string() && Value[1].is_number_unsigned();
   HomeToken Token;
   if (!IsValid || !readHomes(Value[2], Token))
-    return invalidToken();
+    return InvalidToken();
   Token.Class.Value = Value[0].get<std::string>();
   Token.Serial = Value[1].get<uint64_t>();
   return Token;
