--- a/packages/core/src/attempts/agent.cpp
+++ b/packages/core/src/attempts/agent.cpp
@@ -1,4 +1,4 @@
-/** @file agent.cpp Decisions of the agent beside one back end. */
+/** @file agent.cpp Event handlers of the agent beside one back end. */
 
 #include "attempts/agent_func.h"
 
@@ -36,14 +36,14 @@
 
 namespace {
 
-/** Requests beyond its slots that a back end is given, so that the next one is
- * there when one ends; it would stand idle for the way from an entry. */
+/** Requests sent to a back end beyond its slots, so that the next one is there
+ * when one ends; the slot would be idle for a network delay otherwise. */
 constexpr uint32_t SlotsAhead = 1;
-/** Gap between two ticks that shows that this process was paused. */
-constexpr Millis LongestTickGap{250};
+/** A longer gap between two ticks means that this process was paused. */
+constexpr Millis MaxTickGap{250};
 
-/** Works out how far the back end is from serving. */
-WorkerState stateOf(const AgentState &Agent) {
+/** Gives the state of the back end as peers are told it. */
+WorkerState workerState(const AgentState &Agent) {
   if (agentIsLeaving(Agent))
     return WorkerState::Leaving;
   const bool Model = !Agent.Config.EngineUrl.empty();
@@ -56,9 +56,10 @@
                                                    : WorkerState::Serving;
 }
 
-WorkerLoad loadOf(const AgentState &Agent) {
+/** Gives the load of this worker for heartbeats and answers. */
+WorkerLoad currentLoad(const AgentState &Agent) {
   WorkerLoad Load;
-  Load.State = stateOf(Agent);
+  Load.State = workerState(Agent);
   Load.Running = Agent.Gate.Running + Agent.Gate.Lingering;
   Load.Waiting = static_cast<uint32_t>(waitingAttempts(Agent.Gate).size());
   Load.Limit = Agent.Gate.Limit;
@@ -69,31 +70,33 @@
   return Load;
 }
 
-/** Brings the load that heartbeats tell up to date. */
-void refreshLoad(AgentState &Agent) { Agent.Fleet.Load = loadOf(Agent); }
+/** Updates the load that heartbeats report. */
+void refreshLoad(AgentState &Agent) { Agent.Fleet.Load = currentLoad(Agent); }
 
-/** Tells peers at once when the state of the back end changed. */
-void announceChange(AgentState &Agent, TimePoint Now, Effects &Out) {
+/** Updates the reported load and sends heartbeats ahead of their period when
+ * state, weights, rate limit or work have changed. */
+void announceLoadChange(AgentState &Agent, TimePoint Now, Effects &Out) {
   const WorkerState Before = Agent.Fleet.Load.State;
   const Digest Weights = Agent.Fleet.Load.Weights;
   const std::optional<double> PerSecond = Agent.Fleet.Load.PerSecond;
   refreshLoad(Agent);
-  // Entries that believe in room where there is none let requests wait in one
-  // queue while another worker stands idle.
+  // Entries with an outdated load queue requests here while another worker is
+  // idle.
   const uint32_t Work = Agent.Fleet.Load.Running + Agent.Fleet.Load.Waiting;
-  const bool Moved = Work != Agent.ToldWork && !runsOnStore(Agent.Config) &&
-                     mayBeatEarly(Agent.Fleet, Now);
-  if (Moved)
-    Agent.ToldWork = Work;
-  if (Moved || Agent.Fleet.Load.State != Before ||
+  const bool WorkChanged = Work != Agent.AnnouncedWork &&
+                           !runsOnStore(Agent.Config) &&
+                           mayBeatEarly(Agent.Fleet, Now);
+  if (WorkChanged)
+    Agent.AnnouncedWork = Work;
+  if (WorkChanged || Agent.Fleet.Load.State != Before ||
       Agent.Fleet.Load.Weights != Weights ||
       Agent.Fleet.Load.PerSecond != PerSecond)
     sendHeartbeats(Agent.Fleet, Agent.View, Now, Out);
 }
 
-/** A listed back end says itself how much it works on at a time, and how long
- * it is still cold. */
-void followSlots(AgentState &Agent, const Document &Doc, TimePoint Now) {
+/** Applies what the document lists for this back end server: slots, prompt
+ * reading rate, and the length and rate limit of its cold start. */
+void applyServerListing(AgentState &Agent, const Document &Doc, TimePoint Now) {
   const std::string &Self = Agent.Fleet.Self.Name.Value;
   const auto it =
       std::ranges::find_if(Doc.Servers, [&](const BackEndServer &One) {
@@ -105,26 +108,28 @@
       std::ranges::find(Doc.Services, it->Service, &Service::Name);
   if (Kind != Doc.Services.end())
     Agent.Reading.TokensPerSecond = Kind->ReadPerSecond;
-  if (it->Id != Agent.Listed.Id || it->ColdFor != Agent.Listed.ColdFor) {
+  if (it->Id != Agent.ListedServer.Id ||
+      it->ColdFor != Agent.ListedServer.ColdFor) {
     Agent.ColdUntil = Now + it->ColdFor;
-    Agent.Cold = {};
+    Agent.ColdStartRate = {};
   }
   if (Kind != Doc.Services.end() && Kind->ColdPerSecond > 0)
-    Agent.Cold.PerSecond = Kind->ColdPerSecond;
+    Agent.ColdStartRate.PerSecond = Kind->ColdPerSecond;
   else
-    Agent.Cold.PerSecond.reset();
-  Agent.Listed = *it;
-  const uint32_t Bears = it->Slots + SlotsAhead;
-  // Both: the limits of a cold start in the settings may be the same by chance.
-  if (Agent.Gate.Limits.Warm == Bears && Agent.Gate.Limits.Cold == Bears)
+    Agent.ColdStartRate.PerSecond.reset();
+  Agent.ListedServer = *it;
+  const uint32_t Limit = it->Slots + SlotsAhead;
+  // Compares both, since one limit from the settings may have this value too.
+  if (Agent.Gate.Limits.Warm == Limit && Agent.Gate.Limits.Cold == Limit)
     return;
-  // Its cold start is bounded by a rate.
-  Agent.Gate.Limits.Warm = Agent.Gate.Limits.Cold = Bears;
-  Agent.Gate.Limit = Bears;
+  // A listed server's cold start is bounded by a rate, not by concurrency.
+  Agent.Gate.Limits.Warm = Agent.Gate.Limits.Cold = Limit;
+  Agent.Gate.Limit = Limit;
 }
 
-/** Takes what the document says of this host. */
-void followDocument(AgentState &Agent, TimePoint Now, Effects &Out) {
+/** Applies a new document: the version that this worker has to load, the peers
+ * it links to, the back end's limits, and a shut-off failure domain. */
+void applyDocument(AgentState &Agent, TimePoint Now, Effects &Out) {
   const Document &Doc = *Agent.View.InForce;
   const Worker *Self = findWorker(Doc, Agent.Fleet.Self.Name);
   if (Self != nullptr && !Self->Model.Value.empty()) {
@@ -133,11 +138,11 @@
       noteNewest(Agent.Weights, Wanted->Set,
                  Agent.View.PublishedAfter.value_or(Now));
     if (Wanted != nullptr && !Wanted->Origin.Value.empty())
-      followVersion(Agent, *Wanted, Now, Out);
+      obtainChunkList(Agent, *Wanted, Now, Out);
     else if (Wanted != nullptr)
       wantWeights(Agent.Weights, *Wanted);
     planTransfer(Agent.Transfer, Agent.Weights, Doc, Self->Name, Now);
-    followSlots(Agent, Doc, Now);
+    applyServerListing(Agent, Doc, Now);
     for (const LinkId Link : followPeers(Agent, Out))
       agentLinkClosed(Agent, Link, Now);
   }
@@ -146,8 +151,8 @@
   moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
 }
 
-/** Lets an agent that said hello take part in the exchange of chunks. */
-void notePartner(AgentState &Agent, LinkId Link) {
+/** Adds a peer that sent Hello to the exchange of chunks if it is an agent. */
+void addChunkPeer(AgentState &Agent, LinkId Link) {
   const auto it = Agent.Fleet.Links.find(Link);
   if (it == Agent.Fleet.Links.end() || it->second.Peer.Sender != Role::Agent)
     return;
@@ -155,73 +160,79 @@
                  it->second.Peer.Domain == Agent.Fleet.Self.Domain);
 }
 
-/** Turns cold when most answers have stopped coming. */
-void noteStalls(AgentState &Agent, TimePoint Now, Effects &Out) {
-  if (Now - Agent.Fleet.LastTick > LongestTickGap)
+/** Lowers the concurrency limit to its cold value when most answers have
+ * stalled. */
+void detectStalls(AgentState &Agent, TimePoint Now, Effects &Out) {
+  if (Now - Agent.Fleet.LastTick > MaxTickGap)
     return;
-  if (!mostAnswersStall(Agent, Now) ||
+  if (!isMostlyStalled(Agent, Now) ||
       Agent.Gate.Limit <= Agent.Gate.Limits.Cold)
     return;
   turnCold(Agent.Gate);
-  Out.push_back(LogNote{LogPart::Admission, LogLevel::Warn,
-                        "Most answers stall: back end is cold."});
+  Out.push_back(
+      LogNote{LogPart::Admission, LogLevel::Warn,
+              "Most answers have stalled; the back end counts as cold."});
 }
 
-/** Watches the time between tokens for a back end that turned cold. */
-void notePace(AgentState &Agent, Attempt &One, TimePoint Now, Effects &Out) {
-  const bool First = One.LastToken == TimePoint{};
-  const Duration Gap = Now - One.LastToken;
-  // Slow tokens of all answers come at about the same time, and a tick just
-  // after them finds no answer silent. The first of them comes while the others
-  // still are.
+/** Checks the gap before a token for signs that the back end has turned cold.
+ */
+void checkTokenGap(AgentState &Agent, Attempt &One, TimePoint Now,
+                   Effects &Out) {
+  const bool First = One.LastTokenAt == TimePoint{};
+  const Duration Gap = Now - One.LastTokenAt;
+  // The slow tokens of all answers arrive at about the same time, so that a
+  // tick just after them finds no stalled answer. At the first of them the
+  // other answers are still stalled.
   if (!First && farOverWarm(Agent.Gate.Pace, Gap))
-    noteStalls(Agent, Now, Out);
-  One.LastToken = Now;
-  // After a pause of this process all gaps are long, whatever the back end
-  // did; the missed ticks show it.
-  if (First || Now - Agent.Fleet.LastTick > LongestTickGap)
+    detectStalls(Agent, Now, Out);
+  One.LastTokenAt = Now;
+  // After a pause of this process, which the missed ticks show, all gaps are
+  // long and say nothing about the back end.
+  if (First || Now - Agent.Fleet.LastTick > MaxTickGap)
     return;
   if (tokenCame(Agent.Gate, Gap))
-    Out.push_back(LogNote{LogPart::Admission, LogLevel::Warn,
-                          "Tokens come far too slowly: back end is cold."});
+    Out.push_back(
+        LogNote{LogPart::Admission, LogLevel::Warn,
+                "Tokens arrive too slowly; the back end counts as cold."});
 }
 
 /**
- * Takes the rate limit that a report names. Where reports never name one, only
- * answers to requests tell that it was lifted.
+ * Applies the rate limit that a report of the back end names. Where reports
+ * never name one, only an answer to a request can show that it was lifted.
  */
-void noteReportedRate(AgentState &Agent, const EngineState &Read, TimePoint Now,
-                      Effects &Out) {
+void applyReportedRate(AgentState &Agent, const EngineState &Read,
+                       TimePoint Now, Effects &Out) {
   const bool NewRun = !Agent.BackEndRun.empty() && Read.Run != Agent.BackEndRun;
   if (NewRun && Agent.Rate.PerSecond) {
     Agent.Rate = {};
-    noteRateChange(Agent, RateChange::Lifted, "restart", Out);
+    logRateChange(Agent, RateChange::Lifted, "restart", Out);
   }
-  // This reading began after the one before had ended.
-  const TimePoint Began = std::exchange(Agent.ReportedAt, Now);
+  // This report was requested after the previous one had arrived.
+  const TimePoint RequestedAfter = std::exchange(Agent.LastReportAt, Now);
   RateChange Change = RateChange::None;
   if (Read.PerSecond)
     Change = rateNamed(Agent.Rate, *Read.PerSecond, Now);
-  else if (Agent.RateReported)
-    Change = rateNotNamed(Agent.Rate, Began);
-  Agent.RateReported =
-      Read.PerSecond || (Agent.RateReported && !NewRun && Agent.Rate.PerSecond);
-  noteRateChange(Agent, Change, "report", Out);
+  else if (Agent.RateInReports)
+    Change = rateNotNamed(Agent.Rate, RequestedAfter);
+  Agent.RateInReports = Read.PerSecond || (Agent.RateInReports && !NewRun &&
+                                           Agent.Rate.PerSecond);
+  logRateChange(Agent, Change, "report", Out);
 }
 
+/** Answers a ping, which shows the peer that this host runs. */
 void answerPing(LinkId Link, const Ping &m, Effects &Out) {
   Out.push_back(SendMessage{Link, Pong{m.Sequence}});
 }
 
-/** True when the back end may have died in the middle of a run. */
-bool brokeOff(const Outcome<EngineEnd> &End) {
+/** Says whether a run's end may mean that the back end died during it. */
+bool mayHaveDied(const Outcome<EngineEnd> &End) {
   return !End.Value && (End.Why.Kind == ErrorKind::OutcomeUnknown ||
                         End.Why.Kind == ErrorKind::PartialAnswer);
 }
 
-/** Turns what is known of a run's end into what admission needs. */
-RunEnd runEndOf(bool Whole, const Outcome<EngineEnd> &End) {
-  if (Whole)
+/** Classifies the end of a run for admission control. */
+RunEnd runEndOf(bool Complete, const Outcome<EngineEnd> &End) {
+  if (Complete)
     return RunEnd::Whole;
   const bool NeverSent = !End.Value && End.Why.Kind == ErrorKind::Unreachable;
   return NeverSent || End.Value ? RunEnd::NotBegun : RunEnd::CutOff;
@@ -233,13 +244,13 @@
   AgentState Agent;
   Agent.Config = Config;
   Agent.Fleet = makeMembership(Config, Role::Agent, Run, Now);
-  Agent.SpareRoomAt = Now;
+  Agent.LastSpareRoomAt = Now;
   Agent.Gate.Limits = {static_cast<uint32_t>(Config.WarmLimit),
                        static_cast<uint32_t>(Config.ColdLimit),
                        static_cast<uint32_t>(Config.QueueLimit),
                        static_cast<uint32_t>(Config.WarmAfter)};
   turnCold(Agent.Gate);
-  Effects None; // Links are opened with the first tick.
+  Effects None; // Dropped: the first tick opens the links.
   wantPeers(Agent.Fleet, seedPeers(Config), None);
   Agent.Weights.AtEngine = runsOnStore(Config);
   Agent.Transfer = makeTransfer(Config);
@@ -257,7 +268,7 @@
   linkClosed(Agent.Fleet, Link, Now);
   chunkPeerGone(Agent.Transfer, Link, Now);
   detachAttempts(Agent, Link, Now);
-  Effects None; // Nobody is left to be told.
+  Effects None; // Dropped: the link is gone.
   detachPlaces(Agent, Link, Now, None);
 }
 
@@ -281,28 +292,28 @@
       fleetMessage(Agent.View, Agent.Fleet, Link, m, Now, Out);
   if (News == FleetNews::NewDocument) {
     keepPastList(Agent.Keys, Before, Now);
-    followDocument(Agent, Now, Out);
-    announceChange(Agent, Now, Out);
+    applyDocument(Agent, Now, Out);
+    announceLoadChange(Agent, Now, Out);
   }
   if (std::holds_alternative<Hello>(m)) {
-    notePartner(Agent, Link);
+    addChunkPeer(Agent, Link);
     tellSuspects(Agent.Suspects, Link, Now, Out);
   }
   if (News != FleetNews::NotMine)
     return;
   std::visit(Overloaded{[&](const AttemptStart &Start) {
-                          takeAttempt(Agent, Link, Start, Now, Out);
+                          handleAttemptStart(Agent, Link, Start, Now, Out);
                         },
                         [&](const PlaceAsk &Ask) {
-                          takePlaceAsk(Agent, Link, Ask, Now, Out);
+                          handlePlaceRequest(Agent, Link, Ask, Now, Out);
                         },
                         [&](const PlaceDone &Done) {
-                          placeDone(Agent, Done, Now, Out);
+                          handlePlaceRelease(Agent, Done, Now, Out);
                           loadInTurn(Agent, Now, Out);
                         },
                         [&](const RateHeard &Heard) {
-                          placeRateHeard(Agent, Heard, Now, Out);
-                          announceChange(Agent, Now, Out);
+                          handleRateNotice(Agent, Heard, Now, Out);
+                          announceLoadChange(Agent, Now, Out);
                         },
                         [&](const AttemptCancel &Cancel) {
                           cancelAttempt(Agent, Cancel.Attempt, Now, Out);
@@ -312,24 +323,23 @@
                           moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
                         },
                         [&](const ChunkListTold &List) {
-                          if (listTold(Agent, Link, List, Now, Out))
-                            announceChange(Agent, Now, Out);
+                          if (handleListNotice(Agent, Link, List, Now, Out))
+                            announceLoadChange(Agent, Now, Out);
                         },
-                        [&](const ChunkRequest &Asked) {
+                        [&](const ChunkRequest &Request) {
                           chunkRequested(Agent.Transfer, Agent.Weights, Link,
-                                         Asked, Out);
+                                         Request, Out);
                           serveUploads(Agent.Transfer, Agent.Weights, Now, Out);
                         },
                         [&](const SuspectNotice &Notice) {
-                          agentSuspect(Agent, Notice, Now, Out);
+                          handleSuspectNotice(Agent, Notice, Now, Out);
                         },
                         [&](const AttemptQuery &Query) {
-                          queryAttempt(Agent, Link, Query, Now, Out);
+                          handleAttemptQuery(Agent, Link, Query, Now, Out);
                         },
                         [&](const Ping &m) { answerPing(Link, m, Out); },
                         [](const auto &) {
-                          // Meant for entries; an agent that gets one has
-                          // nothing to do.
+                          // The other types are meant for entries.
                         }},
              m);
 }
@@ -339,8 +349,8 @@
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
     return;
-  // The engine may have restarted with other weights since they were read
-  // back: nothing of such an answer may reach the caller.
+  // The engine may have restarted with other weights since its last report.
+  // No part of such an answer may reach the caller.
   if (Weights != Agent.Weights.Loaded || Agent.Weights.Loading) {
     it->second.Cancelled = true;
     Out.push_back(CancelRun{Which});
@@ -349,7 +359,7 @@
                 Ran::Yes, Out);
     return;
   }
-  tellBegun(it->second, Weights, Out);
+  sendBegun(it->second, Weights, Out);
 }
 
 void engineToken(AgentState &Agent, const AttemptId &Which,
@@ -357,7 +367,7 @@
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
     return;
-  notePace(Agent, it->second, Now, Out);
+  checkTokenGap(Agent, it->second, Now, Out);
   sendFrame(it->second, Token, Out);
 }
 
@@ -365,16 +375,16 @@
                  const Outcome<EngineEnd> &End, TimePoint Now, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   const bool Known = it != Agent.Attempts.end();
-  const bool Whole = Known && End.Value &&
-                     End.Value->Count == nextFrame(it->second) &&
-                     End.Value->Weights == it->second.Weights;
-  runEnded(Agent.Gate, Which, runEndOf(Whole, End),
-           Known ? Now - it->second.Began : Duration{0});
-  if (Whole) {
-    ranWhole(Agent, it->second, Now, Out);
+  const bool Complete = Known && End.Value &&
+                        End.Value->Count == nextFrameNumber(it->second) &&
+                        End.Value->Weights == it->second.Weights;
+  runEnded(Agent.Gate, Which, runEndOf(Complete, End),
+           Known ? Now - it->second.StartedAt : Duration{0});
+  if (Complete) {
+    clearSuspicion(Agent, it->second, Now, Out);
     finishAttempt(Agent, Which, 200, Out);
-  } else if (Known && !it->second.Cancelled && brokeOff(End)) {
-    runBrokeOff(Agent, Which, End.Why, Now, Out);
+  } else if (Known && !it->second.Cancelled && mayHaveDied(End)) {
+    handleBrokenRun(Agent, Which, End.Why, Now, Out);
   } else if (Known) {
     const bool NeverSent = End.Why.Kind == ErrorKind::Unreachable && !End.Value;
     Failure Why = End.Why;
@@ -382,7 +392,7 @@
       Why = {ErrorKind::PartialAnswer, "engine's count differs", {}};
     failAttempt(Agent, Which, Why, NeverSent ? Ran::No : Ran::Unknown, Out);
   }
-  runWaiting(Agent, Now, Out);
+  startWaitingWork(Agent, Now, Out);
   loadInTurn(Agent, Now, Out);
   refreshLoad(Agent);
 }
@@ -391,29 +401,30 @@
                      const Outcome<ServiceAnswer> &Answer, TimePoint Now,
                      Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
-  // A plain service does not report what it runs, so that a run cut off here
-  // cannot be waited for.
+  // A plain service does not report what it runs. A run without an answer
+  // therefore counts as over at once.
   runEnded(Agent.Gate, Which, Answer.Value ? RunEnd::Whole : RunEnd::NotBegun,
-           it == Agent.Attempts.end() ? Duration{0} : Now - it->second.Began);
+           it == Agent.Attempts.end() ? Duration{0}
+                                      : Now - it->second.StartedAt);
   if (it == Agent.Attempts.end())
     return;
   const AttemptStart Asked = it->second.Asked;
   if (Answer.Value) {
     sendFrame(it->second, Answer.Value->Body, Out);
     finishAttempt(Agent, Which, Answer.Value->Status, Out);
-    keyAnswered(Agent, Asked, *Answer.Value, Out);
+    settleAnsweredKey(Agent, Asked, *Answer.Value, Out);
   } else {
     const bool NeverSent = Answer.Why.Kind == ErrorKind::Unreachable;
     failAttempt(Agent, Which, Answer.Why, NeverSent ? Ran::No : Ran::Unknown,
                 Out);
   }
-  runWaiting(Agent, Now, Out);
+  startWaitingWork(Agent, Now, Out);
   refreshLoad(Agent);
 }
 
 void engineStateRead(AgentState &Agent, const Outcome<EngineState> &Read,
                      uint64_t OrdersEnded, TimePoint Now, Effects &Out) {
-  // A reading that began before the last order ended tells of other weights.
+  // A report requested before the last load order ended is outdated.
   const bool Current = OrdersEnded == Agent.Weights.OrdersEnded &&
                        OrdersEnded == Agent.Weights.OrdersGiven;
   if (Read.Value && Current)
@@ -426,17 +437,19 @@
   if (Read.Value && !Agent.Weights.Loading) {
     const Digest Known = confirmedSet(Agent.Weights, Run, Read.Value->Weights);
     if (Agent.Weights.Loaded != Known)
-      Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                            "Engine has set " + Known.Value});
+      Out.push_back(
+          LogNote{LogPart::Weights, LogLevel::Info,
+                  "Engine reports loaded weights set " + Known.Value});
     noteLoaded(Agent.Weights, Known);
   }
   if (Agent.BackEndUp && !Read.Value)
-    Out.push_back(LogNote{LogPart::Weights, LogLevel::Warn,
-                          "Back end is silent: " + Read.Why.Detail});
+    Out.push_back(
+        LogNote{LogPart::Weights, LogLevel::Warn,
+                "Back end report could not be read: " + Read.Why.Detail});
   Agent.BackEndUp = Read.Value.has_value();
   if (Read.Value)
-    noteReportedRate(Agent, *Read.Value, Now, Out);
-  judgeBrokenRuns(Agent, Run, Now, Out);
+    applyReportedRate(Agent, *Read.Value, Now, Out);
+  resolveBrokenRuns(Agent, Run, Now, Out);
   if (Restarted) {
     turnCold(Agent.Gate);
     refuseWaiting(Agent, ErrorKind::ColdStart, Out);
@@ -444,9 +457,9 @@
   if (Read.Value)
     backEndReported(Agent.Gate, Read.Value->Running, Read.Value->Cold,
                     Restarted);
-  runWaiting(Agent, Now, Out);
+  startWaitingWork(Agent, Now, Out);
   loadInTurn(Agent, Now, Out);
-  announceChange(Agent, Now, Out);
+  announceLoadChange(Agent, Now, Out);
 }
 
 void servicePinged(AgentState &Agent, const Outcome<std::string> &Read,
@@ -456,7 +469,7 @@
   if (Run != Agent.ServiceRun)
     turnCold(Agent.Gate);
   Agent.ServiceRun = Run;
-  announceChange(Agent, Now, Out);
+  announceLoadChange(Agent, Now, Out);
 }
 
 void originAnswered(AgentState &Agent, const Digest &Chunk,
@@ -470,21 +483,21 @@
 void chunkListRead(AgentState &Agent, const ChunkRef &Version,
                    const Outcome<ChunkList> &Read, TimePoint Now,
                    Effects &Out) {
-  if (listRead(Agent, Version, Read, Now, Out))
-    announceChange(Agent, Now, Out);
+  if (handleListRead(Agent, Version, Read, Now, Out))
+    announceLoadChange(Agent, Now, Out);
 }
 
 void peerSentPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
                   TimePoint Now, Effects &Out) {
   if (!linkHeard(Agent.Fleet, Link, Now))
     return;
-  auto Whole = partFromPeer(Agent.Transfer, Link, Data, Now, Out);
-  if (!Whole)
+  auto Bytes = partFromPeer(Agent.Transfer, Link, Data, Now, Out);
+  if (!Bytes)
     return;
-  ChunkBytes Bytes;
-  if (!Whole->empty())
-    Bytes = std::make_shared<const std::string>(std::move(*Whole));
-  peerSentChunk(Agent, Link, Data.Chunk, checkChunk(std::move(Bytes)), Now,
+  ChunkBytes Chunk;
+  if (!Bytes->empty())
+    Chunk = std::make_shared<const std::string>(std::move(*Bytes));
+  peerSentChunk(Agent, Link, Data.Chunk, checkChunk(std::move(Chunk)), Now,
                 Out);
 }
 
@@ -500,7 +513,7 @@
                  Effects &Out) {
   Out.push_back(LogNote{LogPart::Weights, LogLevel::Warn,
                         "Staged chunk " + Chunk.Value +
-                            " is damaged; it is fetched again."});
+                            " is damaged, fetching it again"});
   chunkSpoilt(Agent.Transfer, Agent.Weights, Chunk);
   moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
 }
@@ -546,30 +559,31 @@
 }
 
 void tellLoad(const AgentState &Agent, Effects &Out) {
-  stampLoad(loadOf(Agent), Out);
+  stampLoad(currentLoad(Agent), Out);
 }
 
 void agentTick(AgentState &Agent, TimePoint Now, Effects &Out) {
-  noteStalls(Agent, Now, Out);
+  detectStalls(Agent, Now, Out);
   forgetSuspects(Agent.Suspects, Now);
-  refuseOverdue(Agent, Now, Out);
+  refuseOverdueAttempts(Agent, Now, Out);
   agentNoticePause(Agent, Now, Out);
   const bool WasFresh = viewIsFresh(Agent.Fleet);
   for (const LinkId Link : fleetTick(Agent.View, Agent.Fleet, Now, Out))
     agentLinkClosed(Agent, Link, Now);
   if (WasFresh && !viewIsFresh(Agent.Fleet))
     refuseWaiting(Agent, ErrorKind::StaleView, Out);
-  sweepAttempts(Agent, Now, Out);
-  sweepPlaces(Agent, Now, Out);
-  // Places may have waited for reading to end, which no message tells.
+  expireAttempts(Agent, Now, Out);
+  expirePlaces(Agent, Now, Out);
+  // Queued places may wait for prompts to be read, which ends without a
+  // message.
   if (!Agent.Places.empty() && Agent.Gate.Waiting.Size > 0)
-    runWaiting(Agent, Now, Out);
-  giveSparePlaces(Agent, Now, Out);
+    startWaitingWork(Agent, Now, Out);
+  grantSparePlaces(Agent, Now, Out);
   expireKeys(Agent.Keys, Agent.Fleet.Self.Run, Now);
-  readList(Agent, Now, Out);
+  requestMissingList(Agent, Now, Out);
   moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
-  announceChange(Agent, Now, Out);
+  announceLoadChange(Agent, Now, Out);
 }
 
 void agentStop(AgentState &Agent, TimePoint Now, Effects &Out) {
--- a/packages/core/src/attempts/agent_func.h
+++ b/packages/core/src/attempts/agent_func.h
@@ -1,4 +1,4 @@
-/** @file agent_func.h Decisions of the agent beside one back end. */
+/** @file agent_func.h Event handlers of the agent beside one back end. */
 
 #ifndef JACINTHPOND_CORE_AGENT_FUNC_H
 #define JACINTHPOND_CORE_AGENT_FUNC_H
@@ -9,18 +9,18 @@
 namespace jacinthpond {
 
 /**
- * Sets up the state of a new process.
+ * Creates the state of a newly started agent.
  * @param Config Its settings.
  * @param Run Its random incarnation.
  * @param Now Current time.
- * @return The state.
+ * @return The state; the back end counts as cold.
  */
 AgentState makeAgent(const Settings &Config, Incarnation Run, TimePoint Now);
 
 /**
- * A link works.
+ * Registers a link to a peer that has opened and greets the peer.
  * @param Agent State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -28,16 +28,18 @@
                      Effects &Out);
 
 /**
- * A link is gone.
+ * Removes a link that has closed. Its attempts and granted places are kept for
+ * a while, its waiting place requests are dropped.
  * @param Agent State to change.
- * @param Link Which link.
+ * @param Link The link.
  * @param Now Current time.
  */
 void agentLinkClosed(AgentState &Agent, LinkId Link, TimePoint Now);
 
 /**
- * Looks for a gap in the own clock and ends what was open before it. To be
- * called before each event, since a pause may end in front of any.
+ * Detects by a gap in its own clock that this process was paused; then drops
+ * all links and refuses everything queued. To be called before each event,
+ * since a pause may end before any of them.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -45,9 +47,9 @@
 void agentNoticePause(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
- * A message arrived from a peer.
+ * Handles a message from a peer: passes it to the function for its type.
  * @param Agent State to change.
- * @param Link Over which link.
+ * @param Link Link over which it arrived.
  * @param m The message.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -56,17 +58,19 @@
                   TimePoint Now, Effects &Out);
 
 /**
- * The engine says which weights it uses for an attempt.
+ * Handles the engine's report that it has begun an attempt: tells the entry, or
+ * fails the attempt when the engine uses other weights than expected.
  * @param Agent State to change.
  * @param Which The attempt.
- * @param Weights Digest of the weights.
+ * @param Weights Digest of the weights that the engine uses.
  * @param Out Effects are appended.
  */
 void engineBegan(AgentState &Agent, const AttemptId &Which,
                  const Digest &Weights, Effects &Out);
 
 /**
- * The engine produced a token.
+ * Forwards a token that the engine produced to the entry, and checks by the gap
+ * before it whether the engine has turned cold.
  * @param Agent State to change.
  * @param Which The attempt.
  * @param Token The token.
@@ -77,10 +81,11 @@
                  const std::string &Token, TimePoint Now, Effects &Out);
 
 /**
- * The engine ended an attempt.
+ * Handles the end of an attempt at the engine: completes or fails it and starts
+ * queued work.
  * @param Agent State to change.
  * @param Which The attempt.
- * @param End How it ended.
+ * @param End Token count and weights, or why it failed.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -88,10 +93,11 @@
                  const Outcome<EngineEnd> &End, TimePoint Now, Effects &Out);
 
 /**
- * The plain service answered or failed.
+ * Handles the plain service's answer to an attempt, or its failure: completes
+ * or fails the attempt and starts queued work.
  * @param Agent State to change.
  * @param Which The attempt.
- * @param Answer How it ended.
+ * @param Answer The answer, or why there is none.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -100,9 +106,10 @@
                      Effects &Out);
 
 /**
- * The engine's own state was read.
+ * Handles a periodic report of the engine: updates loaded weights, limits and
+ * rate limit, and detects a restart or the engine's death.
  * @param Agent State to change.
- * @param Read The state, or why it could not be read.
+ * @param Read The report, or why it could not be read.
  * @param OrdersEnded WeightsState::OrdersEnded when the reading began.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -111,9 +118,9 @@
                      uint64_t OrdersEnded, TimePoint Now, Effects &Out);
 
 /**
- * The plain service was asked whether it answers.
+ * Handles the result of a health check of the plain service.
  * @param Agent State to change.
- * @param Read Its incarnation, or why it did not answer.
+ * @param Read The service's incarnation, or why it did not answer.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -121,10 +128,10 @@
                    TimePoint Now, Effects &Out);
 
 /**
- * A chunk arrived from the origin, or failed.
+ * Handles the origin's answer to a request for a chunk.
  * @param Agent State to change.
- * @param Chunk Which chunk was asked for.
- * @param Came What came.
+ * @param Chunk Digest of the chunk that was requested.
+ * @param Came What arrived, checked against its digest.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -132,9 +139,9 @@
                     const CheckedChunk &Came, TimePoint Now, Effects &Out);
 
 /**
- * The list of a version's chunks was read from its origin.
+ * Handles the origin's answer to a request for a version's chunk list.
  * @param Agent State to change.
- * @param Version Which version was asked for.
+ * @param Version The version whose list was requested.
  * @param Read The list, or why it could not be read.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -143,10 +150,11 @@
                    const Outcome<ChunkList> &Read, TimePoint Now, Effects &Out);
 
 /**
- * A chunk was staged at the engine, or was found there.
+ * Handles the result of staging a chunk at the engine, or of looking for one
+ * that was staged earlier.
  * @param Agent State to change.
- * @param Chunk Which chunk.
- * @param Staged False when the engine did not take it.
+ * @param Chunk The chunk.
+ * @param Staged False when the engine did not accept it.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -154,9 +162,10 @@
                  TimePoint Now, Effects &Out);
 
 /**
- * A chunk that lay staged was read back and is damaged.
+ * Discards a staged chunk that proved damaged when it was read back, and
+ * fetches it again.
  * @param Agent State to change.
- * @param Chunk Its digest as published.
+ * @param Chunk Its published digest.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -164,11 +173,11 @@
                  Effects &Out);
 
 /**
- * A peer answered a request for a chunk.
+ * Handles a complete chunk from a peer, or the peer's refusal.
  * @param Agent State to change.
- * @param Link Over which link.
- * @param Chunk Which chunk was asked for.
- * @param Came What came.
+ * @param Link Link to the peer.
+ * @param Chunk Digest of the chunk that was requested.
+ * @param Came What arrived, checked against its digest.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
@@ -176,9 +185,10 @@
                    const CheckedChunk &Came, TimePoint Now, Effects &Out);
 
 /**
- * A peer answered a request for a part of a chunk.
+ * Adds a part of a chunk that a peer sent, and checks the chunk once all its
+ * parts have arrived.
  * @param Agent State to change.
- * @param Link Over which link.
+ * @param Link Link to the peer.
  * @param Data The part.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -187,24 +197,26 @@
                   TimePoint Now, Effects &Out);
 
 /**
- * A piece of an answer was sent; chunks for other domains make way for it.
+ * Counts a sent piece of an answer against the byte rate to other failure
+ * domains, so that chunks yield to answers.
  * @param Agent State to change.
- * @param Link Over which link.
+ * @param Link Link over which it was sent.
  * @param Bytes Its size.
  * @param Now Current time.
  */
 void answerSent(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now);
 
 /**
- * Tells how much of what was sent over a link the network has not taken yet.
+ * Records how many sent bytes a link still holds in its send buffer.
  * @param Agent State to change.
- * @param Link Which link.
- * @param Bytes How much.
+ * @param Link The link.
+ * @param Bytes Bytes that the network has not accepted yet.
  */
 void linkBacklog(AgentState &Agent, LinkId Link, uint64_t Bytes);
 
 /**
- * A load order ended; the engine's state is read next.
+ * Handles the result of an order to load weights. The concurrency limit falls
+ * to its cold value in any case.
  * @param Agent State to change.
  * @param Why Set when the engine refused or could not be reached.
  * @param Now Current time.
@@ -214,14 +226,15 @@
                TimePoint Now, Effects &Out);
 
 /**
- * Writes the load into answers; called on the effects of every decision.
+ * Writes the current load into the answers among the effects. To be called on
+ * the effects of every event.
  * @param Agent The state.
  * @param Out Effects to change.
  */
 void tellLoad(const AgentState &Agent, Effects &Out);
 
 /**
- * Time passed.
+ * Runs the periodic work: timeouts, heartbeats, queued work and transfers.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -229,7 +242,7 @@
 void agentTick(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
- * The process is to end gracefully: new work is refused, peers are told.
+ * Begins a graceful stop: refuses queued and new work and tells the peers.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -26,84 +26,89 @@
 
 namespace jacinthpond {
 
-/** One attempt as the agent knows it. */
+/** One attempt at this agent: queued or running. */
 struct Attempt {
-  AttemptStart Asked;                         ///< What was asked.
-  LinkId Link;                                ///< Who asked.
-  TimePoint Arrived;                          ///< When it came.
-  TimePoint Deadline;                         ///< When its answer is useless.
-  TimePoint Began;                            ///< When the back end got it.
-  TimePoint LastToken;                        ///< When its last token came.
-  AttemptKnown State = AttemptKnown::Waiting; ///< How far it has come.
-  Digest Weights;                             ///< Weights that began it.
-  bool Begun = false;                ///< The back end said that it began.
-  std::vector<std::string> Frames;   ///< Frames so far, from Asked.ResumeFrom.
-  std::optional<TimePoint> LinkLost; ///< Since when nobody can be answered.
-  bool Cancelled = false;            ///< Nobody waits for it.
-  bool RanAlone = false;             ///< Nothing else ran beside it.
-  std::optional<Failure> Broke;      ///< It broke off; being judged.
-  uint32_t ReadsSinceBroke = 0;      ///< States of the back end read since.
-  std::string BreakId;               ///< Death told to peers; empty: none.
+  AttemptStart Asked;    ///< Request from the entry.
+  LinkId Link;           ///< Link of the entry that gets the answer.
+  TimePoint Arrived;     ///< When the request arrived.
+  TimePoint Deadline;    ///< After this the answer is of no use.
+  TimePoint StartedAt;   ///< When it was sent to the back end.
+  TimePoint LastTokenAt; ///< When its latest token arrived; zero: none yet.
+  AttemptKnown State = AttemptKnown::Waiting; ///< Waiting or running.
+  Digest Weights;         ///< Weights that produce the answer; empty: none.
+  bool BegunSent = false; ///< The entry was told that the back end has it.
+  std::vector<std::string> Frames; ///< Frames so far, from Asked.ResumeFrom.
+  std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
+  bool Cancelled = false;              ///< No caller waits for it.
+  bool RanAlone = false;               ///< Nothing else ran beside it.
+  std::optional<Failure> BreakFailure; ///< Set while it is undecided whether
+                                       ///< the back end died with this run.
+  uint32_t ReportsSinceBreak = 0; ///< Back end reports read since it broke off.
+  std::string DeathId; ///< Id of the death reported to peers; empty: none.
 };
 
-/** A place at the back end for a request that an entry sends there itself. */
+/**
+ * A place: permission for one request that an entry itself sends to the back
+ * end. It counts against the concurrency limit while it is held.
+ */
 struct Place {
-  LinkId Link;         ///< Who asked.
-  PlaceAsk Ask;        ///< What was asked.
-  TimePoint Asked;     ///< When it was asked for.
-  TimePoint Since;     ///< When it was asked for, then when it was given.
-  TimePoint WaitUntil; ///< After that it is of no use.
-  bool Given = false;  ///< The request may be at the back end.
-  Duration Reading{0}; ///< Prompts to be read when it was given.
-  std::optional<TimePoint> LinkLost; ///< Since when nobody can speak of it.
+  LinkId Link;           ///< Link of the entry that asked.
+  PlaceAsk Request;      ///< The entry's request for this place.
+  TimePoint RequestedAt; ///< When it was requested.
+  TimePoint GrantedAt;   ///< When it was granted; until then, when requested.
+  TimePoint WaitUntil;   ///< Time limit for granting it.
+  bool Granted = false;  ///< The request may be at the back end.
+  Duration ReadingAtGrant{0}; ///< Time to read all prompts, at the grant.
+  std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
 };
 
-/** Counters of an agent; read by metrics and status. */
+/** Counters of an agent, shown in metrics and status. */
 struct AgentCounters {
-  uint64_t Started = 0;        ///< Attempts given to the back end.
-  uint64_t Completed = 0;      ///< Attempts answered whole.
+  uint64_t Started = 0;   ///< Attempts sent to the back end and places granted.
+  uint64_t Completed = 0; ///< Those answered completely.
   uint64_t KeyRepeats = 0;     ///< Repeats answered from a key's record.
-  uint64_t RepeatedStarts = 0; ///< Starts of attempts known already.
-  std::map<ErrorKind, uint64_t> Refused; ///< Attempts refused, by kind.
+  uint64_t RepeatedStarts = 0; ///< AttemptStart messages for a known attempt.
+  std::map<ErrorKind, uint64_t> Refused; ///< Refused or failed ones.
 };
 
 /** All state of an agent, owned by its control thread. */
 struct AgentState {
-  Settings Config;                       ///< Settings of this process.
-  ConfigView View;                       ///< Published configuration.
-  Membership Fleet;                      ///< Links to entries and agents.
-  ReadingDebt Reading;                   ///< Prompts given, not read yet.
-  FirstPartTime FirstPart;               ///< How long first parts take.
-  Admission Gate;                        ///< Running and waiting work.
-  ServerRate Rate;                       ///< Limit of the back end itself.
-  ServerRate Cold;                       ///< What it bears while cold.
-  TimePoint ColdUntil;                   ///< It is cold until then.
-  BackEndServer Listed;                  ///< What the document says of it.
-  bool RateReported = false;             ///< Its reports named that limit.
-  TimePoint ReportedAt;                  ///< When its last report came.
-  WeightsState Weights;                  ///< Weights of the engine.
-  TransferState Transfer;                ///< Exchange of chunks.
-  RolloutState Rollout;                  ///< Waiting for the turn to load.
-  bool BackEndUp = false;                ///< The back end answers.
-  uint64_t BreaksWithdrawn = 0;          ///< Broken runs that were no death.
-  std::string ServiceRun;                ///< Incarnation of the plain service.
-  std::string BackEndRun;                ///< Last incarnation that answered.
-  Quarantine Suspects;                   ///< Requests that were at a death.
-  std::map<AttemptId, Attempt> Attempts; ///< Waiting and running.
-  std::map<AttemptId, Place> Places;     ///< Waiting and given.
-  std::deque<AttemptId> SparePlaces;     ///< Those that wait for spare room.
-  TimePoint SpareRoomAt;                 ///< When there was such room last.
-  EndedAttempts Ended;                   ///< Attempts of the last while.
-  KeyBook Keys;                          ///< Non-repeatable calls.
-  ModelVersion
-      Listing; ///< Version whose chunk list is being read; may be empty.
-  std::optional<ChunkList> ListRead; ///< What the first reading gave.
-  ChunkListTold LastTold; ///< List that an agent told last; may be empty.
-  TimePoint NextListRead; ///< Earliest time of the next reading.
-  bool ListAsked = false; ///< A reading is under way.
-  uint32_t ToldWork = 0;  ///< Work in the last heartbeat before its time.
-  bool Stopping = false;  ///< No new work is taken.
-  AgentCounters Counters; ///< What happened so far.
+  Settings Config;          ///< Settings of this process.
+  ConfigView View;          ///< Published configuration.
+  Membership Fleet;         ///< Links to entries and agents.
+  ReadingDebt Reading;      ///< Prompts sent to the back end and not read yet.
+  FirstPartTime FirstPart;  ///< Observed time to the first part of an answer.
+  Admission Gate;           ///< Concurrency limit, running and queued work.
+  ServerRate Rate;          ///< Rate limit that the back end itself announces.
+  ServerRate ColdStartRate; ///< Rate limit during a cold start.
+  TimePoint ColdUntil;      ///< End of the cold start.
+  BackEndServer ListedServer;   ///< Row of this back end in the document.
+  bool RateInReports = false;   ///< The back end's reports name its rate limit.
+  TimePoint LastReportAt;       ///< When its latest report arrived.
+  WeightsState Weights;         ///< Weights wanted and loaded.
+  TransferState Transfer;       ///< Exchange of chunks with peers and origin.
+  RolloutState Rollout;         ///< Turn of this agent to load new weights.
+  bool BackEndUp = false;       ///< The back end answers.
+  uint64_t WithdrawnDeaths = 0; ///< Suspected deaths that proved wrong.
+  std::string ServiceRun;       ///< Incarnation of the plain service.
+  std::string BackEndRun;       ///< Last known incarnation of the engine.
+  Quarantine Suspects;          ///< Requests that ran when a back end died.
+  std::map<AttemptId, Attempt> Attempts; ///< Queued and running attempts.
+  std::map<AttemptId, Place> Places;     ///< Requested and granted places.
+  std::deque<AttemptId> SpareQueue; ///< Places for late requests, in order.
+  TimePoint LastSpareRoomAt;        ///< When spare capacity was last seen.
+  EndedAttempts Ended;              ///< Attempts that ended recently.
+  KeyBook Keys;                     ///< Records of non-repeatable calls.
+  ModelVersion PendingVersion; ///< Version whose chunk list is missing; may be
+                               ///< empty.
+  std::optional<ChunkList> UnconfirmedList; ///< Chunk list as first read.
+  ChunkListTold LastListNotice; ///< Latest list from a peer; may be empty.
+  TimePoint NextListReadAt;     ///< Earliest time of the next read of the list.
+  bool ListReadPending = false; ///< A read of the list is in progress.
+  uint32_t AnnouncedWork = 0;   ///< Work in the last heartbeat that was sent
+                                ///< ahead of its period.
+  bool Stopping = false;        ///< No new work is accepted.
+  AgentCounters Counters;       ///< Event counts since the start.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/attempt.cpp
+++ b/packages/core/src/attempts/attempt.cpp
@@ -1,4 +1,4 @@
-/** @file attempt.cpp Attempts at an agent: taken, run, answered. */
+/** @file attempt.cpp Lifecycle of attempts at an agent. */
 
 #include "attempts/attempt_func.h"
 
@@ -26,27 +26,31 @@
 
 namespace {
 
-/** Shares of a told wait, in hundredths, between which callers are spread. */
-constexpr uint64_t SpreadFrom = 75;
-constexpr uint64_t SpreadWidth = 50;
+/** Range of the jitter on a retry delay, in percent of the delay. */
+constexpr uint64_t JitterMinPercent = 75;
+constexpr uint64_t JitterRangePercent = 50;
 
-/** Callers refused together are not told to come back together. */
-Millis spread(Millis Wait, const AttemptId &Which) {
+/** Adds jitter to a retry delay, so that callers refused at the same time don't
+ * all retry at the same time. */
+Millis jitteredWait(Millis Wait, const AttemptId &Which) {
   const uint64_t Share =
-      SpreadFrom + rendezvousScore("come back", Which.Value) % SpreadWidth;
+      JitterMinPercent +
+      rendezvousScore("come back", Which.Value) % JitterRangePercent;
   return Wait * static_cast<int64_t>(Share) / 100;
 }
 
 /**
- * How long an attempt whose link was lost goes on without an entry that asks
- * for it. Above the time in which an entry reopens a link and asks.
+ * How long an attempt continues after its link was lost. Longer than an entry
+ * needs to reopen a link and ask for the attempt.
  */
-constexpr Millis DetachedKeep{8000};
-/** How long a refusal is remembered: above the longest silence of a link. */
-constexpr Millis RefusalKeep{10000};
-
-void refuse(AgentState &Agent, LinkId Link, const AttemptId &Which,
-            const Failure &Why, Effects &Out) {
+constexpr Millis DetachedTimeout{8000};
+/** How long a refusal is remembered; longer than a link may be silent. */
+constexpr Millis RefusalRetention{10000};
+
+/** Refuses a request for an attempt that was not accepted, and remembers the
+ * refusal. */
+void refuseStart(AgentState &Agent, LinkId Link, const AttemptId &Which,
+                 const Failure &Why, Effects &Out) {
   ++Agent.Counters.Refused[Why.Kind];
   AttemptFailed m;
   m.Attempt = Which;
@@ -54,50 +58,56 @@
   m.Executed = Ran::No;
   m.Detail = Why.Detail;
   m.RetryAfterMillis =
-      static_cast<uint64_t>(spread(Why.RetryAfter, Which).count());
+      static_cast<uint64_t>(jitteredWait(Why.RetryAfter, Which).count());
   Out.push_back(SendMessage{Link, m});
   const TimePoint Now = Agent.Fleet.LastTick;
   EndedAttempt Ended;
   Ended.Final = m;
-  Ended.Forget = Now + RefusalKeep;
+  Ended.ForgetAt = Now + RefusalRetention;
   rememberEnded(Agent.Ended, Which, std::move(Ended), Now);
 }
 
-/** Moves an open attempt to the memory of ended ones. */
-void endAttempt(AgentState &Agent, const AttemptId &Which,
-                std::variant<AttemptFailed, AnswerEnd> Final) {
+/** Moves an attempt to the record of ended ones. */
+void archiveAttempt(AgentState &Agent, const AttemptId &Which,
+                    std::variant<AttemptFailed, AnswerEnd> Final) {
   const auto it = Agent.Attempts.find(Which);
   Attempt &One = it->second;
   EndedAttempt Ended;
   Ended.Final = std::move(Final);
-  if (One.Begun)
+  if (One.BegunSent)
     Ended.Weights = One.Weights;
   Ended.FirstFrame = One.Asked.ResumeFrom;
   Ended.Frames = std::move(One.Frames);
   const auto *Failed = std::get_if<AttemptFailed>(&Ended.Final);
   const bool NeverRan = Failed != nullptr && Failed->Executed == Ran::No;
-  // "Not run" stays true of one that was never seen, so it may go early.
-  Ended.Forget =
-      NeverRan ? Agent.Fleet.LastTick + RefusalKeep : One.Deadline + EndedKeep;
+  // A forgotten attempt is reported as never seen. That is true of one that did
+  // not run, so its record may expire early.
+  Ended.ForgetAt = NeverRan ? Agent.Fleet.LastTick + RefusalRetention
+                            : One.Deadline + EndedRetention;
   rememberEnded(Agent.Ended, Which, std::move(Ended), Agent.Fleet.LastTick);
   Agent.Attempts.erase(it);
 }
 
-/** Sends frames again from the first one that the entry lacks. */
-void sendFramesFrom(LinkId Link, const AttemptId &Which, uint64_t First,
-                    const std::vector<std::string> &Frames, uint64_t Next,
-                    Effects &Out) {
+/**
+ * Sends frames again, from the first one that the entry lacks.
+ * @param First Sequence number of Frames.front().
+ * @param Next First frame that the entry lacks.
+ */
+void resendFrames(LinkId Link, const AttemptId &Which, uint64_t First,
+                  const std::vector<std::string> &Frames, uint64_t Next,
+                  Effects &Out) {
   for (uint64_t n = std::max(First, Next); n < First + Frames.size(); ++n)
     Out.push_back(
         SendMessage{Link, AnswerFrame{Which, n, Frames.at(n - First)}});
 }
 
-/** Sends the end of an attempt again, with what the entry lacks before it. */
-void sendEndAgain(LinkId Link, const AttemptQuery &m, const EndedAttempt &One,
-                  Effects &Out) {
+/** Sends the end of an attempt again, after the frames that the entry lacks;
+ * an error instead when these are no longer stored. */
+void resendEnd(LinkId Link, const AttemptQuery &m, const EndedAttempt &One,
+               Effects &Out) {
   if (One.Weights)
     Out.push_back(SendMessage{Link, AttemptBegun{m.Attempt, *One.Weights}});
-  sendFramesFrom(Link, m.Attempt, One.FirstFrame, One.Frames, m.NextFrame, Out);
+  resendFrames(Link, m.Attempt, One.FirstFrame, One.Frames, m.NextFrame, Out);
   const auto *End = std::get_if<AnswerEnd>(&One.Final);
   const bool Dropped = End != nullptr &&
                        One.FirstFrame + One.Frames.size() < End->Count &&
@@ -115,31 +125,34 @@
       One.Final);
 }
 
-/** Tells an attempt that another one has a better claim to its place. */
-void pushOut(AgentState &Agent, const AttemptId &Which, Effects &Out) {
-  const Millis Wait = spread(timeToComeBack(Agent.Gate), Which);
+/** Fails a queued attempt that was evicted from the full queue by another. */
+void refuseEvicted(AgentState &Agent, const AttemptId &Which, Effects &Out) {
+  const Millis Wait = jitteredWait(timeToComeBack(Agent.Gate), Which);
   failAttempt(Agent, Which, {ErrorKind::Overloaded, "queue full", Wait},
               Ran::No, Out);
 }
 
-uint32_t weightOf(const Document &Doc, const TenantName &Name) {
+/** Gives the weight of a workspace in the fair queue; 1 if it is not listed. */
+uint32_t workspaceWeight(const Document &Doc, const TenantName &Name) {
   const auto it = std::ranges::find(Doc.Tenants, Name, &Tenant::Name);
   return it == Doc.Tenants.end() ? 1 : it->Weight;
 }
 
-/** Refusal of a request that cost too many back ends. */
-Failure quarantined(const AgentState &Agent, const AttemptStart &m,
-                    TimePoint Now) {
+/** Gives the error for a request that made too many back ends die. */
+Failure quarantineFailure(const AgentState &Agent, const AttemptStart &m,
+                          TimePoint Now) {
   const Digest Fingerprint = fingerprintOf(m.Tenant, m.Class, m.Body);
   return {ErrorKind::Quarantined, "it made back ends fail",
           refusedFor(Agent.Suspects, Fingerprint, Now)};
 }
 
-Admittee admitteeOf(const AgentState &Agent, const AttemptStart &m) {
+/** Describes an attempt to admission control: workspace, priority, time left.
+ */
+Admittee admissionRequestOf(const AgentState &Agent, const AttemptStart &m) {
   const Document &Doc = *Agent.View.InForce;
   const WorkClass *Class = findClass(Doc, m.Class);
   Admittee One;
-  One.Who = {m.Attempt, m.Tenant, weightOf(Doc, m.Tenant),
+  One.Who = {m.Attempt, m.Tenant, workspaceWeight(Doc, m.Tenant),
              Class == nullptr ? 1 : Class->Priority};
   if (Agent.Config.FifoQueue)
     One.Who = {m.Attempt, {}, 1, 1};
@@ -148,12 +161,12 @@
   return One;
 }
 
-/** Says why this agent takes no such work at all now, or nothing. */
-std::optional<ErrorKind> standingRefusal(const AgentState &Agent,
-                                         const AttemptStart &m) {
+/** Gives the reason why this agent cannot accept an attempt now, if any. */
+std::optional<ErrorKind> refusalReason(const AgentState &Agent,
+                                       const AttemptStart &m) {
   if (agentIsLeaving(Agent))
     return ErrorKind::Leaving;
-  // It is not to run: an entry that leaves asks whether its key did.
+  // A leaving entry only asks whether its key ran; nothing is to run for it.
   if (m.RemainingMillis == 0)
     return ErrorKind::Deadline;
   if (!Agent.View.InForce || !viewIsFresh(Agent.Fleet))
@@ -176,17 +189,17 @@
   return std::nullopt;
 }
 
-/** Answers in progress from which stalls are judged. */
-constexpr size_t FewestStalls = 2;
+/** With fewer answers in progress no stall is assumed. */
+constexpr size_t MinAnswersForStall = 2;
 
-/** Gives an attempt to the back end. */
+/** Sends an attempt to the back end. */
 void beginAttempt(AgentState &Agent, Attempt &One, TimePoint Now,
                   Effects &Out) {
   One.State = AttemptKnown::Running;
-  One.Began = Now;
+  One.StartedAt = Now;
   One.RanAlone = Agent.Gate.Alone == One.Asked.Attempt;
   ++Agent.Counters.Started;
-  countAtBackEnd(Agent, Now);
+  countBackEndRequest(Agent, Now);
   const WorkClass *Class = findClass(*Agent.View.InForce, One.Asked.Class);
   if (!Agent.Config.EngineUrl.empty()) {
     EngineRequest Request;
@@ -203,35 +216,35 @@
   Call.Key = One.Asked.Key;
   Call.Body = One.Asked.Body;
   Call.Timeout = toMillis(One.Deadline - Now);
-  // A home waits longer than its caller, so that a repeat gets the answer.
+  // Waits longer than the caller does, so that a repeat gets the answer.
   if (!Call.Key.Value.empty())
     Call.Timeout = std::max(Call.Timeout, Agent.View.InForce->RetryHorizon);
-  keyBegan(Agent, One.Asked);
-  tellBegun(One, {}, Out);
+  markKeyRunning(Agent, One.Asked);
+  sendBegun(One, {}, Out);
   Out.push_back(RunService{Call});
 }
 
-/** Runs an attempt, lets it wait, or refuses it as not run. */
+/** Starts an attempt, queues it, or refuses it as not run. */
 void admitAttempt(AgentState &Agent, Attempt &One, TimePoint Now,
                   Effects &Out) {
   const AttemptStart &m = One.Asked;
-  const Suspicion Doubt = suspicionOf(Agent, m, Now);
-  if (Doubt == Suspicion::Refuse) {
-    failAttempt(Agent, AttemptId(m.Attempt), quarantined(Agent, m, Now),
+  const Suspicion Suspected = suspicionOf(Agent, m, Now);
+  if (Suspected == Suspicion::Refuse) {
+    failAttempt(Agent, AttemptId(m.Attempt), quarantineFailure(Agent, m, Now),
                 Ran::No, Out);
     return;
   }
-  Admittee Asking = admitteeOf(Agent, m);
-  Asking.Alone = Asking.Alone || Doubt == Suspicion::RunAlone;
+  Admittee Request = admissionRequestOf(Agent, m);
+  Request.Alone = Request.Alone || Suspected == Suspicion::RunAlone;
   const AdmissionAnswer Answer =
-      askToRun(Agent.Gate, Asking,
-               !mostAnswersStall(Agent, Now) && agentRateAllows(Agent, Now));
+      askToRun(Agent.Gate, Request,
+               !isMostlyStalled(Agent, Now) && isWithinRateLimits(Agent, Now));
   if (Answer.PushedOut)
-    pushOut(Agent, *Answer.PushedOut, Out);
+    refuseEvicted(Agent, *Answer.PushedOut, Out);
   if (Answer.May == Admitted::Refuse)
     failAttempt(Agent, AttemptId(m.Attempt),
                 {ErrorKind::Overloaded, "queue full",
-                 spread(Answer.RetryAfter, m.Attempt)},
+                 jitteredWait(Answer.RetryAfter, m.Attempt)},
                 Ran::No, Out);
   if (Answer.May == Admitted::Run)
     beginAttempt(Agent, One, Now, Out);
@@ -244,19 +257,20 @@
          isDeparting(Agent.Fleet, Agent.Fleet.Self.Name, Agent.Fleet.Self.Run);
 }
 
-void takeAttempt(AgentState &Agent, LinkId Link, const AttemptStart &m,
-                 TimePoint Now, Effects &Out) {
-  // A start can come twice, or late after its attempt was asked after and
-  // given up. It would run a second time, or after "not run" was told.
+void handleAttemptStart(AgentState &Agent, LinkId Link, const AttemptStart &m,
+                        TimePoint Now, Effects &Out) {
+  // The message may be a repeat, or arrive after a query for its attempt was
+  // answered with "never seen". The attempt must not run twice, nor after that
+  // answer.
   if (Agent.Attempts.contains(m.Attempt) ||
-      Agent.Ended.Known.contains(m.Attempt)) {
+      Agent.Ended.ById.contains(m.Attempt)) {
     ++Agent.Counters.RepeatedStarts;
     return;
   }
-  const auto Standing = standingRefusal(Agent, m);
+  const auto Refusal = refusalReason(Agent, m);
   const bool Keyed = !m.Key.Value.empty();
-  if (Standing && !Keyed) {
-    refuse(Agent, Link, m.Attempt, {*Standing, "", {}}, Out);
+  if (Refusal && !Keyed) {
+    refuseStart(Agent, Link, m.Attempt, {*Refusal, "", {}}, Out);
     return;
   }
   Attempt One;
@@ -264,11 +278,11 @@
   One.Link = Link;
   One.Arrived = Now;
   One.Deadline = Now + Millis(static_cast<int64_t>(m.RemainingMillis));
-  if (Keyed && answerByKey(Agent, One, Standing, Now, Out))
+  if (Keyed && answerFromKeyRecord(Agent, One, Refusal, Now, Out))
     return;
   Attempt &Kept = Agent.Attempts[m.Attempt] = One;
   if (Keyed)
-    openKeyOf(Agent, m, Now);
+    recordKeyOf(Agent, m, Now);
   admitAttempt(Agent, Kept, Now, Out);
 }
 
@@ -283,10 +297,10 @@
                 Out);
     return;
   }
-  // A keyed call goes on: its record must learn how it ended.
+  // A call with a key continues, since its record needs the result.
   if (it->second.Asked.Key.Value.empty())
     Out.push_back(CancelRun{Which});
-  runWaiting(Agent, Now, Out);
+  startWaitingWork(Agent, Now, Out);
 }
 
 void failAttempt(AgentState &Agent, const AttemptId &Which, const Failure &Why,
@@ -308,8 +322,8 @@
                             " failed: " + answerFor(Why.Kind).Name + ", ran " +
                             std::string(ranName(Executed)) + "."});
   const AttemptStart Asked = it->second.Asked;
-  endAttempt(Agent, Which, m);
-  keyFailed(Agent, Asked, Why, Executed, Out);
+  archiveAttempt(Agent, Which, m);
+  settleFailedKey(Agent, Asked, Why, Executed, Out);
 }
 
 void finishAttempt(AgentState &Agent, const AttemptId &Which, int Status,
@@ -320,71 +334,72 @@
   const Attempt &One = it->second;
   AnswerEnd m;
   m.Attempt = Which;
-  m.Count = nextFrame(One);
+  m.Count = nextFrameNumber(One);
   m.Content = sha256(
       std::accumulate(One.Frames.begin(), One.Frames.end(), std::string()));
   m.Status = Status;
   Out.push_back(SendMessage{One.Link, m});
   ++Agent.Counters.Completed;
-  endAttempt(Agent, Which, m);
+  archiveAttempt(Agent, Which, m);
 }
 
-void queryAttempt(AgentState &Agent, LinkId Link, const AttemptQuery &m,
-                  TimePoint Now, Effects &Out) {
+void handleAttemptQuery(AgentState &Agent, LinkId Link, const AttemptQuery &m,
+                        TimePoint Now, Effects &Out) {
   const Incarnation Self = Agent.Fleet.Self.Run;
   if (const auto it = Agent.Attempts.find(m.Attempt);
       it != Agent.Attempts.end()) {
     Attempt &One = it->second;
     One.Link = Link;
-    One.LinkLost.reset();
+    One.LinkLostAt.reset();
     Out.push_back(SendMessage{Link, AttemptStatus{m.Attempt, One.State, Self}});
-    if (One.Begun)
+    if (One.BegunSent)
       Out.push_back(SendMessage{Link, AttemptBegun{m.Attempt, One.Weights}});
-    sendFramesFrom(Link, m.Attempt, One.Asked.ResumeFrom, One.Frames,
-                   m.NextFrame, Out);
+    resendFrames(Link, m.Attempt, One.Asked.ResumeFrom, One.Frames, m.NextFrame,
+                 Out);
     return;
   }
-  if (const auto it = Agent.Ended.Known.find(m.Attempt);
-      it != Agent.Ended.Known.end()) {
+  if (const auto it = Agent.Ended.ById.find(m.Attempt);
+      it != Agent.Ended.ById.end()) {
     Out.push_back(SendMessage{
         Link, AttemptStatus{m.Attempt, AttemptKnown::Finished, Self}});
-    sendEndAgain(Link, m, it->second, Out);
+    resendEnd(Link, m, it->second, Out);
     return;
   }
-  const bool Vouched = endedIsComplete(Agent.Ended, Now);
+  const bool Certain = isEndedComplete(Agent.Ended, Now);
   Out.push_back(
       SendMessage{Link, AttemptStatus{m.Attempt, AttemptKnown::NeverSeen,
-                                      Vouched ? Self : Incarnation{}}});
-  // Its start may still be on the way over the old link; it must not run now.
+                                      Certain ? Self : Incarnation{}}});
+  // Its AttemptStart may still arrive over the old link and must not run then.
   EndedAttempt Revoked;
   Revoked.Final = AttemptFailed{m.Attempt, ErrorKind::Unreachable, Ran::No,
                                 "asked after before it came", 0};
-  Revoked.Forget = Now + EndedKeep;
+  Revoked.ForgetAt = Now + EndedRetention;
   rememberEnded(Agent.Ended, m.Attempt, std::move(Revoked), Now);
 }
 
 void detachAttempts(AgentState &Agent, LinkId Link, TimePoint Now) {
   for (auto &[Id, One] : Agent.Attempts)
-    if (One.Link == Link && !One.LinkLost)
-      One.LinkLost = Now;
+    if (One.Link == Link && !One.LinkLostAt)
+      One.LinkLostAt = Now;
 }
 
-void sweepAttempts(AgentState &Agent, TimePoint Now, Effects &Out) {
-  std::vector<AttemptId> Unclaimed;
+void expireAttempts(AgentState &Agent, TimePoint Now, Effects &Out) {
+  std::vector<AttemptId> Abandoned;
   for (const auto &[Id, One] : Agent.Attempts)
-    if (One.LinkLost && Now - *One.LinkLost >= DetachedKeep && !One.Cancelled)
-      Unclaimed.push_back(Id);
-  for (const AttemptId &Which : Unclaimed)
+    if (One.LinkLostAt && Now - *One.LinkLostAt >= DetachedTimeout &&
+        !One.Cancelled)
+      Abandoned.push_back(Id);
+  for (const AttemptId &Which : Abandoned)
     cancelAttempt(Agent, Which, Now, Out);
   expireEnded(Agent.Ended, Now);
 }
 
-uint64_t nextFrame(const Attempt &One) {
+uint64_t nextFrameNumber(const Attempt &One) {
   return One.Asked.ResumeFrom + One.Frames.size();
 }
 
-void tellBegun(Attempt &One, const Digest &Weights, Effects &Out) {
-  One.Begun = true;
+void sendBegun(Attempt &One, const Digest &Weights, Effects &Out) {
+  One.BegunSent = true;
   One.Weights = Weights;
   Out.push_back(
       SendMessage{One.Link, AttemptBegun{One.Asked.Attempt, Weights}});
@@ -392,20 +407,21 @@
 
 void sendFrame(Attempt &One, const std::string &Data, Effects &Out) {
   Out.push_back(SendMessage{
-      One.Link, AnswerFrame{One.Asked.Attempt, nextFrame(One), Data}});
+      One.Link, AnswerFrame{One.Asked.Attempt, nextFrameNumber(One), Data}});
   One.Frames.push_back(Data);
 }
 
-void runWaiting(AgentState &Agent, TimePoint Now, Effects &Out) {
-  // The next look at the back end goes on with it. A tick that would call it
-  // cold may come late, where this process itself gets little time.
-  while (mayRead(Agent.Reading, Now) && !mostAnswersStall(Agent, Now) &&
-         agentRateAllows(Agent, Now)) {
+void startWaitingWork(AgentState &Agent, TimePoint Now, Effects &Out) {
+  // Checks for stalls here too: the tick that lowers the limit may come late
+  // when this process itself gets little processor time. The back end's next
+  // report starts the rest.
+  while (mayRead(Agent.Reading, Now) && !isMostlyStalled(Agent, Now) &&
+         isWithinRateLimits(Agent, Now)) {
     const auto Next = nextToRun(Agent.Gate);
     if (!Next)
       return;
     if (Agent.Places.contains(*Next)) {
-      givePlaceInTime(Agent, *Next, Now, Out);
+      grantOrRefusePlace(Agent, *Next, Now, Out);
       continue;
     }
     Attempt &One = Agent.Attempts.at(*Next);
@@ -419,16 +435,17 @@
   }
 }
 
-void readmit(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-             Effects &Out) {
+void readmitSuspect(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+                    Effects &Out) {
   Attempt &One = Agent.Attempts.at(Which);
   if (suspicionOf(Agent, One.Asked, Now) == Suspicion::Refuse) {
-    failAttempt(Agent, Which, quarantined(Agent, One.Asked, Now), Ran::No, Out);
+    failAttempt(Agent, Which, quarantineFailure(Agent, One.Asked, Now), Ran::No,
+                Out);
     return;
   }
-  Admittee Asking = admitteeOf(Agent, One.Asked);
-  Asking.Alone = true;
-  const AdmissionAnswer Answer = askToRun(Agent.Gate, Asking);
+  Admittee Request = admissionRequestOf(Agent, One.Asked);
+  Request.Alone = true;
+  const AdmissionAnswer Answer = askToRun(Agent.Gate, Request);
   if (Answer.May == Admitted::Refuse)
     failAttempt(Agent, Which,
                 {ErrorKind::Overloaded, "queue full", Answer.RetryAfter},
@@ -443,27 +460,27 @@
     refusePlace(Agent, Which, {Kind, "", {}}, Out);
     failAttempt(Agent, Which, {Kind, "", {}}, Ran::No, Out);
   }
-  for (const AttemptId &Which : std::exchange(Agent.SparePlaces, {}))
+  for (const AttemptId &Which : std::exchange(Agent.SpareQueue, {}))
     refusePlace(Agent, Which, {Kind, "", {}}, Out);
 }
 
-bool mostAnswersStall(const AgentState &Agent, TimePoint Now) {
+bool isMostlyStalled(const AgentState &Agent, TimePoint Now) {
   size_t Begun = 0;
   size_t Stalled = 0;
   for (const auto &[Id, One] : Agent.Attempts) {
-    if (One.LastToken == TimePoint{})
+    if (One.LastTokenAt == TimePoint{})
       continue;
     ++Begun;
-    Stalled += farOverWarm(Agent.Gate.Pace, Now - One.LastToken) ? 1 : 0;
+    Stalled += farOverWarm(Agent.Gate.Pace, Now - One.LastTokenAt) ? 1 : 0;
   }
-  return Begun >= FewestStalls && Stalled * 2 > Begun;
+  return Begun >= MinAnswersForStall && Stalled * 2 > Begun;
 }
 
-void refuseOverdue(AgentState &Agent, TimePoint Now, Effects &Out) {
+void refuseOverdueAttempts(AgentState &Agent, TimePoint Now, Effects &Out) {
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
     const auto it = Agent.Attempts.find(Which);
     if (it == Agent.Attempts.end() || Now < it->second.Deadline)
-      continue; // Places are looked at by sweepPlaces().
+      continue; // expirePlaces() handles places.
     stopWaiting(Agent.Gate, Which);
     failAttempt(Agent, Which, {ErrorKind::Deadline, "waited too long", {}},
                 Ran::No, Out);
--- a/packages/core/src/attempts/back_end_death.cpp
+++ b/packages/core/src/attempts/back_end_death.cpp
@@ -1,4 +1,5 @@
-/** @file back_end_death.cpp An agent that sees its back end die. */
+/** @file back_end_death.cpp Detection of back end deaths and of the requests
+ * that may have caused them. */
 
 #include "attempts/back_end_death_func.h"
 
@@ -14,68 +15,76 @@
 namespace {
 
 /**
- * States of the same incarnation after which a broken run was no death. One
- * may have been asked for before the run broke.
+ * Reports of the same incarnation after which a run that broke off is taken for
+ * a broken connection. The first of them may have been requested before that.
  */
-constexpr uint32_t AliveReads = 2;
+constexpr uint32_t MinAliveReports = 2;
 
+/** Gives the fingerprint by which a request is recognised as suspect. */
 Digest fingerprintOf(const AttemptStart &m) {
   return fingerprintOf(m.Tenant, m.Class, m.Body);
 }
 
-std::vector<AttemptId> brokenRuns(const AgentState &Agent) {
+/** Lists the attempts whose runs broke off and are not resolved yet. */
+std::vector<AttemptId> brokenAttempts(const AgentState &Agent) {
   std::vector<AttemptId> All;
   for (const auto &[Id, One] : Agent.Attempts)
-    if (One.Broke)
+    if (One.BreakFailure)
       All.push_back(Id);
   return All;
 }
 
-/** What a death took with it. */
-std::vector<AttemptId> victims(const AgentState &Agent, bool Replaced) {
-  std::vector<AttemptId> All = brokenRuns(Agent);
-  // A new incarnation runs nothing of the old one, even where the end of a
-  // connection has not been seen yet.
+/**
+ * Lists the attempts that were lost in a death of the back end.
+ * @param Replaced A new incarnation of the back end has been seen.
+ */
+std::vector<AttemptId> lostAttempts(const AgentState &Agent, bool Replaced) {
+  std::vector<AttemptId> All = brokenAttempts(Agent);
+  // A new incarnation does not continue runs of the old one, even if the close
+  // of their connections has not been seen yet.
   for (const auto &[Id, One] : Agent.Attempts)
-    if (Replaced && !One.Broke && One.State == AttemptKnown::Running)
+    if (Replaced && !One.BreakFailure && One.State == AttemptKnown::Running)
       All.push_back(Id);
   return All;
 }
 
-/** Tells all peers that a request may have killed the back end. */
-void tellSuspect(AgentState &Agent, Attempt &One, TimePoint Now, Effects &Out) {
-  if (One.BreakId.empty())
-    One.BreakId = Agent.Fleet.Self.Name.Value + "/" + Agent.BackEndRun + "/" +
-                  std::to_string(Agent.BreaksWithdrawn);
+/** Tells all peers that a request may have made the back end die. */
+void reportSuspect(AgentState &Agent, Attempt &One, TimePoint Now,
+                   Effects &Out) {
+  if (One.DeathId.empty())
+    One.DeathId = Agent.Fleet.Self.Name.Value + "/" + Agent.BackEndRun + "/" +
+                  std::to_string(Agent.WithdrawnDeaths);
   SuspectNotice Notice;
   Notice.Fingerprint = fingerprintOf(One.Asked);
-  Notice.DeathId = One.BreakId;
+  Notice.DeathId = One.DeathId;
   Notice.Alone = One.RanAlone;
   if (noteSuspect(Agent.Suspects, Notice, Now))
     spreadNotice(Agent.Fleet, Notice, {}, Out);
 }
 
-/** The back end lives: a connection broke, and the request is no suspect. */
+/** Tells all peers that a request is no suspect after all, since the back end
+ * is alive. */
 void withdrawSuspect(AgentState &Agent, const Attempt &One, TimePoint Now,
                      Effects &Out) {
-  if (One.BreakId.empty())
+  if (One.DeathId.empty())
     return;
-  // A later death of the same back end has another id: this one is cleared.
-  ++Agent.BreaksWithdrawn;
-  const SuspectNotice Notice{fingerprintOf(One.Asked), One.BreakId, 0, false,
+  // Gives a later death of the same incarnation a new id.
+  ++Agent.WithdrawnDeaths;
+  const SuspectNotice Notice{fingerprintOf(One.Asked), One.DeathId, 0, false,
                              true};
   if (noteSuspect(Agent.Suspects, Notice, Now))
     spreadNotice(Agent.Fleet, Notice, {}, Out);
 }
 
-void declareDeath(AgentState &Agent, const std::vector<AttemptId> &Lost,
-                  TimePoint Now, Effects &Out) {
+/** Tells all peers that the lost attempts are suspect, then fails them. */
+void failLostAttempts(AgentState &Agent, const std::vector<AttemptId> &Lost,
+                      TimePoint Now, Effects &Out) {
   Out.push_back(LogNote{LogPart::Admission, LogLevel::Error,
-                        "Back end died with " + std::to_string(Lost.size()) +
-                            " requests."});
-  // Told before the failure: an entry that tries again knows it by then.
+                        "Back end died while it ran " +
+                            std::to_string(Lost.size()) + " requests"});
+  // The notice goes first, so that an entry has it before it retries.
   for (const AttemptId &Which : Lost)
-    tellSuspect(Agent, Agent.Attempts.at(Which), Now, Out);
+    reportSuspect(Agent, Agent.Attempts.at(Which), Now, Out);
   for (const AttemptId &Which : Lost)
     failAttempt(Agent, Which, {ErrorKind::OutcomeUnknown, "back end died", {}},
                 Ran::Unknown, Out);
@@ -83,65 +92,65 @@
 
 } // namespace
 
-void runBrokeOff(AgentState &Agent, const AttemptId &Which, const Failure &Why,
-                 TimePoint Now, Effects &Out) {
+void handleBrokenRun(AgentState &Agent, const AttemptId &Which,
+                     const Failure &Why, TimePoint Now, Effects &Out) {
   Attempt &One = Agent.Attempts.at(Which);
-  One.Broke = Why;
-  One.ReadsSinceBroke = 0;
+  One.BreakFailure = Why;
+  One.ReportsSinceBreak = 0;
   if (!Agent.BackEndRun.empty())
-    tellSuspect(Agent, One, Now, Out);
+    reportSuspect(Agent, One, Now, Out);
 }
 
 /**
- * A back end that gives no state may have died of what runs there, though no
- * run has broken off yet. What waits is refused and goes elsewhere: peers have
- * to know by then.
+ * Reports running requests as suspect while the back end sends no report, and
+ * withdraws that once it does. It may have died although no run has broken off
+ * yet, and peers need to know before queued requests are sent elsewhere.
  */
-static void suspectWhileSilent(AgentState &Agent, const std::string &Run,
-                               TimePoint Now, Effects &Out) {
+static void updateRunningSuspects(AgentState &Agent, const std::string &Run,
+                                  TimePoint Now, Effects &Out) {
   for (auto &[Id, One] : Agent.Attempts) {
-    if (One.State != AttemptKnown::Running || One.Broke)
+    if (One.State != AttemptKnown::Running || One.BreakFailure)
       continue;
     if (Run.empty()) {
-      tellSuspect(Agent, One, Now, Out);
+      reportSuspect(Agent, One, Now, Out);
     } else if (Run == Agent.BackEndRun) {
       withdrawSuspect(Agent, One, Now, Out);
-      One.BreakId.clear();
+      One.DeathId.clear();
     }
   }
 }
 
-void judgeBrokenRuns(AgentState &Agent, const std::string &Run, TimePoint Now,
-                     Effects &Out) {
+void resolveBrokenRuns(AgentState &Agent, const std::string &Run, TimePoint Now,
+                       Effects &Out) {
   const bool Known = !Agent.BackEndRun.empty();
   if (Known)
-    suspectWhileSilent(Agent, Run, Now, Out);
+    updateRunningSuspects(Agent, Run, Now, Out);
   const bool Replaced = Known && !Run.empty() && Run != Agent.BackEndRun;
   const bool Dead = Known && Run != Agent.BackEndRun;
   if (Dead)
-    if (const auto Lost = victims(Agent, Replaced); !Lost.empty())
-      declareDeath(Agent, Lost, Now, Out);
+    if (const auto Lost = lostAttempts(Agent, Replaced); !Lost.empty())
+      failLostAttempts(Agent, Lost, Now, Out);
   if (!Run.empty())
     Agent.BackEndRun = Run;
-  for (const AttemptId &Which : brokenRuns(Agent)) {
+  for (const AttemptId &Which : brokenAttempts(Agent)) {
     Attempt &One = Agent.Attempts.at(Which);
-    if (++One.ReadsSinceBroke < AliveReads)
+    if (++One.ReportsSinceBreak < MinAliveReports)
       continue;
-    const Failure Why = *One.Broke;
+    const Failure Why = *One.BreakFailure;
     withdrawSuspect(Agent, One, Now, Out);
     failAttempt(Agent, Which, Why, Ran::Unknown, Out);
   }
 }
 
-void ranWhole(AgentState &Agent, const Attempt &One, TimePoint Now,
-              Effects &Out) {
+void clearSuspicion(AgentState &Agent, const Attempt &One, TimePoint Now,
+                    Effects &Out) {
   if (!Agent.Suspects.Suspects.empty())
     clearSuspect(Agent.Suspects, fingerprintOf(One.Asked), Agent.Fleet, Now,
                  Out);
 }
 
-void agentSuspect(AgentState &Agent, const SuspectNotice &Notice, TimePoint Now,
-                  Effects &Out) {
+void handleSuspectNotice(AgentState &Agent, const SuspectNotice &Notice,
+                         TimePoint Now, Effects &Out) {
   if (!noteSuspect(Agent.Suspects, Notice, Now) || Notice.Cleared)
     return;
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
@@ -149,14 +158,14 @@
     if (fingerprintOf(Asked) != Notice.Fingerprint)
       continue;
     stopWaiting(Agent.Gate, Which);
-    readmit(Agent, Which, Now, Out);
+    readmitSuspect(Agent, Which, Now, Out);
   }
-  runWaiting(Agent, Now, Out);
+  startWaitingWork(Agent, Now, Out);
 }
 
 Suspicion suspicionOf(const AgentState &Agent, const AttemptStart &m,
                       TimePoint Now) {
-  // Digesting every body would cost time for nothing on ordinary days.
+  // Without suspects, avoids the cost of a digest of the body.
   if (Agent.Suspects.Suspects.empty())
     return Suspicion::None;
   return suspicionOf(Agent.Suspects, fingerprintOf(m), Now);
--- a/packages/core/src/attempts/back_end_death_func.h
+++ b/packages/core/src/attempts/back_end_death_func.h
@@ -1,4 +1,6 @@
-/** @file back_end_death_func.h An agent that sees its back end die. */
+/** @file back_end_death_func.h Detection of back end deaths and of the requests
+ * that may have caused them.
+ */
 
 #ifndef JACINTHPOND_CORE_BACK_END_DEATH_FUNC_H
 #define JACINTHPOND_CORE_BACK_END_DEATH_FUNC_H
@@ -9,57 +11,59 @@
 namespace jacinthpond {
 
 /**
- * A run broke off. Whether the back end died with it shows only in its next
- * states, so that the attempt is held until then. Peers are told at once: equal
- * requests that come meanwhile could each kill another back end.
+ * Handles a run that broke off: holds the attempt until the next reports of the
+ * back end show whether it died. Peers are told at once that the request is
+ * suspect, since equal requests could each make another back end die meanwhile.
  * @param Agent State to change.
  * @param Which The attempt.
  * @param Why How it broke off.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void runBrokeOff(AgentState &Agent, const AttemptId &Which, const Failure &Why,
-                 TimePoint Now, Effects &Out);
+void handleBrokenRun(AgentState &Agent, const AttemptId &Which,
+                     const Failure &Why, TimePoint Now, Effects &Out);
 
 /**
- * The back end's state was read: decides on runs that broke off. When it died,
- * what ran is told to all peers as suspect and then failed; when it lives, what
- * was told is withdrawn.
+ * Resolves runs that broke off, after the back end's report was read. If the
+ * back end died, peers are told that its running requests are suspect, and
+ * these fail. If it is alive, the notices are withdrawn and the attempts fail
+ * with their own errors.
  * @param Agent State to change.
- * @param Run Incarnation read; empty when it gave none.
+ * @param Run Incarnation in the report; empty when it could not be read.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void judgeBrokenRuns(AgentState &Agent, const std::string &Run, TimePoint Now,
-                     Effects &Out);
+void resolveBrokenRuns(AgentState &Agent, const std::string &Run, TimePoint Now,
+                       Effects &Out);
 
 /**
- * An attempt ran to its end: if it was suspect, it is so no more.
+ * Clears a request of suspicion, here and at all peers, after its attempt ran
+ * to its end.
  * @param Agent State to change.
  * @param One The attempt.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void ranWhole(AgentState &Agent, const Attempt &One, TimePoint Now,
-              Effects &Out);
+void clearSuspicion(AgentState &Agent, const Attempt &One, TimePoint Now,
+                    Effects &Out);
 
 /**
- * A peer told of a suspect: what waits here of it waits to run alone, or is
- * refused.
+ * Handles a peer's notice of a suspect request: queued attempts with the same
+ * content are to run alone, or are refused.
  * @param Agent State to change.
- * @param Notice What was told.
+ * @param Notice The notice.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentSuspect(AgentState &Agent, const SuspectNotice &Notice, TimePoint Now,
-                  Effects &Out);
+void handleSuspectNotice(AgentState &Agent, const SuspectNotice &Notice,
+                         TimePoint Now, Effects &Out);
 
 /**
- * Says how an attempt is to be treated.
+ * Says whether an attempt may run beside others, only alone, or not at all.
  * @param Agent The state.
- * @param m The attempt.
+ * @param m Request for the attempt.
  * @param Now Current time.
- * @return What its record of deaths says.
+ * @return The restriction that the known deaths put on its request.
  */
 Suspicion suspicionOf(const AgentState &Agent, const AttemptStart &m,
                       TimePoint Now);
--- a/packages/core/src/attempts/backend_type.h
+++ b/packages/core/src/attempts/backend_type.h
@@ -1,4 +1,5 @@
-/** @file backend_type.h What agents and back ends tell each other. */
+/** @file backend_type.h Requests to back ends, and their answers and reports.
+ */
 
 #ifndef JACINTHPOND_CORE_BACKEND_TYPE_H
 #define JACINTHPOND_CORE_BACKEND_TYPE_H
@@ -13,60 +14,60 @@
 
 namespace jacinthpond {
 
-/** What an engine reports of itself; lags behind what it does. */
+/** Report of an engine on itself; may lag behind its actual state. */
 struct EngineState {
   std::string Run;                 ///< Changes when the engine restarts.
   Digest Weights;                  ///< Digest of the loaded set; empty: none.
-  uint32_t Running = 0;            ///< Requests in its batch.
+  uint32_t Running = 0;            ///< Requests that it runs.
   bool Cold = false;               ///< Its caches are cold.
-  bool Busy = false;               ///< It carries out a load order.
-  std::optional<double> PerSecond; ///< Rate limit that it names, if any.
+  bool Busy = false;               ///< It is loading weights.
+  std::optional<double> PerSecond; ///< Its rate limit, if it has one.
 };
 
 /** One chunk of one version of a model. */
 struct ChunkRef {
   ModelName Model;     ///< Which model.
   std::string Version; ///< Which version of it.
-  size_t Number = 0;   ///< Place in the version's list.
+  size_t Number = 0;   ///< Index in the version's list.
   Digest Content;      ///< Digest of its bytes.
-  Address Origin;      ///< Where the version comes from; empty: one for all.
+  Address Origin;      ///< Origin of the version; empty: the common one.
 };
 
 /** Chunks of a version, as its origin lists them. */
 struct ChunkList {
   std::vector<Digest> Chunks; ///< Digest of each chunk, in order.
-  uint64_t ChunkBytes = 0;    ///< Size of each chunk but the last.
+  uint64_t ChunkBytes = 0;    ///< Size of each chunk except the last.
 
   bool operator==(const ChunkList &) const = default;
 };
 
 /** One request for an engine. */
 struct EngineRequest {
-  AttemptId Attempt;       ///< Names the request in the engine's records.
+  AttemptId Attempt;       ///< Id of the request at the engine.
   std::string Body;        ///< The caller's body.
   uint32_t Priority = 1;   ///< Higher goes first.
-  uint64_t ResumeFrom = 0; ///< Tokens that are not to be produced again.
+  uint64_t ResumeFrom = 0; ///< Tokens that the caller already has.
 };
 
-/** How a stream of an engine ended. */
+/** End of an answer stream, as the engine reports it. */
 struct EngineEnd {
-  uint64_t Count = 0; ///< Tokens of the whole answer.
-  Digest Weights;     ///< Weights that the engine says it used.
+  uint64_t Count = 0; ///< Tokens of the complete answer.
+  Digest Weights;     ///< Weights that produced the answer.
 };
 
-/** Order to load a set that was staged whole. */
+/** Order to an engine to load a completely staged weights set. */
 struct LoadOrder {
-  FencingNumber Fence;        ///< Some engines refuse an old one.
+  FencingNumber Fence;        ///< Some engines refuse older numbers.
   Digest Set;                 ///< Digest of the set.
   ModelName Model;            ///< Which model.
   std::string Version;        ///< Which version of it.
   std::vector<Digest> Chunks; ///< Its chunks, in order.
-  bool Anew = false; ///< Even what the engine says it has loaded of this set.
+  bool Anew = false; ///< Also load what the engine says it has of this set.
 };
 
-/** One call of a plain service. */
+/** One call to a plain service. */
 struct ServiceCall {
-  AttemptId Attempt;  ///< Names the call in the service's records.
+  AttemptId Attempt;  ///< Id of the call at the service.
   ClassName Class;    ///< Class of work.
   IdempotencyKey Key; ///< Empty for repeatable calls.
   std::string Body;   ///< The caller's body.
@@ -76,7 +77,7 @@
 /** Answer of a plain service. */
 struct ServiceAnswer {
   int Status = 0;   ///< HTTP status.
-  std::string Body; ///< The answer.
+  std::string Body; ///< Body of the answer.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/chunk_list.cpp
+++ b/packages/core/src/attempts/chunk_list.cpp
@@ -1,5 +1,4 @@
-/** @file chunk_list.cpp How an agent learns of what chunks a version is made.
- */
+/** @file chunk_list.cpp Chunk lists of weights versions, read or from peers. */
 
 #include "attempts/chunk_list_func.h"
 
@@ -13,33 +12,35 @@
 
 namespace {
 
-/** Wait before a list of chunks that could not be read is read again. */
-constexpr Millis ListRetry{300};
-/** Agents of a domain that read a list at once; the second stands in for the
- * first one. */
-constexpr size_t ListReaders = 2;
-/** Time in which the others are told it: two readings of it, and the way. */
-constexpr Millis ListTellTime{400};
-
-/** Follows a version whose chunks are known, and looks what lies staged. */
-void wantVersion(AgentState &Agent, const ModelVersion &Wanted, TimePoint Now,
-                 Effects &Out) {
-  const bool New = Agent.Weights.Wanted.Set != Wanted.Set;
-  if (New)
+/** Delay before a chunk list that could not be read is read again. */
+constexpr Millis ListRetryDelay{300};
+/** Agents of a failure domain that read a list at once; the second one in case
+ * the first one fails. */
+constexpr size_t ListReadersPerDomain = 2;
+/** Time in which the others get the list: two reads of it and the way to them.
+ */
+constexpr Millis ListNoticeTimeout{400};
+
+/** Selects a version whose chunk list is known for loading, and asks the engine
+ * which of its chunks are staged there already. */
+void selectVersion(AgentState &Agent, const ModelVersion &Wanted, TimePoint Now,
+                   Effects &Out) {
+  const bool IsNew = Agent.Weights.Wanted.Set != Wanted.Set;
+  if (IsNew)
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
                           "event=set_wanted set=" + Wanted.Set.Value +
                               " loaded=" + Agent.Weights.Loaded.Value});
   wantWeights(Agent.Weights, Wanted);
   planTransfer(Agent.Transfer, Agent.Weights, *Agent.View.InForce,
                Agent.Fleet.Self.Name, Now);
-  // An agent that was started again beside a loaded engine need not fetch what
-  // lies there, and others can fetch it from here.
-  if (New && !Agent.Config.EngineUrl.empty() && !Wanted.Origin.Value.empty())
+  // After a restart of the agent beside a loaded engine, the staged chunks need
+  // not be fetched, and peers can fetch them from here.
+  if (IsNew && !Agent.Config.EngineUrl.empty() && !Wanted.Origin.Value.empty())
     Out.push_back(ReadStaged{missingChunks(Agent.Transfer)});
 }
 
-/** Tells agents of this domain that do not have the list yet. */
-void tellList(const AgentState &Agent, Effects &Out) {
+/** Sends the chunk list to agents of this domain that don't have it yet. */
+void sendListToPeers(const AgentState &Agent, Effects &Out) {
   const ModelVersion &Wanted = Agent.Weights.Wanted;
   const ChunkListTold Told{Wanted.Name, Wanted.Version, Wanted.ChunkBytes,
                            Wanted.Chunks};
@@ -48,99 +49,106 @@
       Out.push_back(SendMessage{Link, Told});
 }
 
-/** Wants the version whose list was missing. */
-void takeList(AgentState &Agent, const ChunkList &List, TimePoint Now,
-              Effects &Out) {
-  ModelVersion Known = std::exchange(Agent.Listing, {});
+/** Completes the pending version with its chunk list, selects it for loading
+ * and sends the list to the domain. */
+void acceptList(AgentState &Agent, const ChunkList &List, TimePoint Now,
+                Effects &Out) {
+  ModelVersion Known = std::exchange(Agent.PendingVersion, {});
   Known.Chunks = List.Chunks;
   Known.ChunkBytes = List.ChunkBytes;
   Known.TotalBytes = Known.ChunkBytes * Known.Chunks.size();
-  wantVersion(Agent, Known, Now, Out);
-  tellList(Agent, Out);
+  selectVersion(Agent, Known, Now, Out);
+  sendListToPeers(Agent, Out);
   moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
 }
 
-/** Takes the list that was told last where it is the one that is missing. */
-bool useToldList(AgentState &Agent, TimePoint Now, Effects &Out) {
-  const ChunkListTold &Told = Agent.LastTold;
-  const bool Missing = !Agent.Listing.Set.Value.empty() &&
-                       Agent.Listing.Name == Told.Model &&
-                       Agent.Listing.Version == Told.Version;
-  if (!Missing)
+/** Accepts the latest list from a peer if it is that of the pending version.
+ * @return False when it is not. */
+bool applyLastNotice(AgentState &Agent, TimePoint Now, Effects &Out) {
+  const ChunkListTold &Told = Agent.LastListNotice;
+  const bool IsPending = !Agent.PendingVersion.Set.Value.empty() &&
+                         Agent.PendingVersion.Name == Told.Model &&
+                         Agent.PendingVersion.Version == Told.Version;
+  if (!IsPending)
     return false;
-  Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
-                        "event=list_told set=" + Agent.Listing.Set.Value});
-  takeList(Agent, {Told.Chunks, Told.ChunkBytes}, Now, Out);
+  Out.push_back(
+      LogNote{LogPart::Weights, LogLevel::Info,
+              "event=list_told set=" + Agent.PendingVersion.Set.Value});
+  acceptList(Agent, {Told.Chunks, Told.ChunkBytes}, Now, Out);
   return true;
 }
 
-/** Gives how long this agent waits to be told a list before it reads it. */
-Millis waitToBeTold(const AgentState &Agent) {
+/** Gives how long this agent waits for a peer's list before it reads it from
+ * the origin; 0 for the few readers of each domain. */
+Millis delayBeforeReading(const AgentState &Agent) {
   const ChunkPlan &Plan = Agent.Transfer.Plan;
-  const bool Reader =
-      !planned(Plan) || Plan.Hosts[Plan.Self].Rank < ListReaders;
-  return Reader ? Millis{0} : ListTellTime;
+  const bool IsReader =
+      !planned(Plan) || Plan.Hosts[Plan.Self].Rank < ListReadersPerDomain;
+  return IsReader ? Millis{0} : ListNoticeTimeout;
 }
 
 } // namespace
 
-void readList(AgentState &Agent, TimePoint Now, Effects &Out) {
-  const ModelVersion &Wanted = Agent.Listing;
-  if (Wanted.Set.Value.empty() || Agent.ListAsked || Now < Agent.NextListRead)
+void requestMissingList(AgentState &Agent, TimePoint Now, Effects &Out) {
+  const ModelVersion &Wanted = Agent.PendingVersion;
+  if (Wanted.Set.Value.empty() || Agent.ListReadPending ||
+      Now < Agent.NextListReadAt)
     return;
-  Agent.ListAsked = true;
+  Agent.ListReadPending = true;
   Out.push_back(
       ReadChunkList{{Wanted.Name, Wanted.Version, 0, {}, Wanted.Origin}});
 }
 
-void followVersion(AgentState &Agent, const ModelVersion &Wanted, TimePoint Now,
-                   Effects &Out) {
+void obtainChunkList(AgentState &Agent, const ModelVersion &Wanted,
+                     TimePoint Now, Effects &Out) {
   if (Agent.Weights.Wanted.Set == Wanted.Set) {
-    Agent.Listing = {};
+    Agent.PendingVersion = {};
     return;
   }
-  if (Agent.Listing.Set == Wanted.Set)
+  if (Agent.PendingVersion.Set == Wanted.Set)
     return;
-  Agent.Listing = Wanted;
-  Agent.ListRead.reset();
-  Agent.NextListRead = Now + waitToBeTold(Agent);
-  Agent.ListAsked = false;
-  if (!useToldList(Agent, Now, Out))
-    readList(Agent, Now, Out);
+  Agent.PendingVersion = Wanted;
+  Agent.UnconfirmedList.reset();
+  Agent.NextListReadAt = Now + delayBeforeReading(Agent);
+  Agent.ListReadPending = false;
+  if (!applyLastNotice(Agent, Now, Out))
+    requestMissingList(Agent, Now, Out);
 }
 
-bool listRead(AgentState &Agent, const ChunkRef &Version,
-              const Outcome<ChunkList> &Read, TimePoint Now, Effects &Out) {
-  const ModelVersion &Wanted = Agent.Listing;
+bool handleListRead(AgentState &Agent, const ChunkRef &Version,
+                    const Outcome<ChunkList> &Read, TimePoint Now,
+                    Effects &Out) {
+  const ModelVersion &Wanted = Agent.PendingVersion;
   if (Wanted.Name != Version.Model || Wanted.Version != Version.Version)
-    return false; // Another version is wanted by now, or it was told.
-  Agent.ListAsked = false;
+    return false; // Another version is pending by now, or none.
+  Agent.ListReadPending = false;
   if (!Read.Value || Read.Value->Chunks.empty()) {
-    Agent.NextListRead = Now + ListRetry;
+    Agent.NextListReadAt = Now + ListRetryDelay;
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Warn,
                           "Chunk list of version " + Version.Version +
-                              " not read: " + Read.Why.Detail});
+                              " could not be read: " + Read.Why.Detail});
     return false;
   }
-  // The list may be damaged on its way, and nothing vouches for it: it counts
-  // once two readings agree.
-  if (Agent.ListRead != Read.Value) {
-    Agent.ListRead = Read.Value;
-    readList(Agent, Now, Out);
+  // The list may be damaged on its way and has no checksum. It is accepted once
+  // two reads agree.
+  if (Agent.UnconfirmedList != Read.Value) {
+    Agent.UnconfirmedList = Read.Value;
+    requestMissingList(Agent, Now, Out);
     return false;
   }
-  takeList(Agent, *Read.Value, Now, Out);
+  acceptList(Agent, *Read.Value, Now, Out);
   return true;
 }
 
-bool listTold(AgentState &Agent, LinkId Link, const ChunkListTold &Told,
-              TimePoint Now, Effects &Out) {
-  // Links have checksums of their own, and who tells it has read it twice or
-  // was told by one who has.
+bool handleListNotice(AgentState &Agent, LinkId Link, const ChunkListTold &Told,
+                      TimePoint Now, Effects &Out) {
+  // Links have checksums, and the list was read twice by the sender or by the
+  // one that sent it there.
   if (!Agent.Transfer.Peers.contains(Link) || Told.Chunks.empty())
     return false;
-  Agent.LastTold = Told; // The document that names it may come later.
-  return useToldList(Agent, Now, Out);
+  Agent.LastListNotice =
+      Told; // The document that names the version may come later.
+  return applyLastNotice(Agent, Now, Out);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/chunk_list_func.h
+++ b/packages/core/src/attempts/chunk_list_func.h
@@ -1,10 +1,10 @@
-/** @file chunk_list_func.h How an agent learns of what chunks a version is
- * made.
+/** @file chunk_list_func.h Chunk lists of weights versions, read or from peers.
  *
- * A document names a version, its origin lists the chunks. Read by every agent
- * the lists of a large fleet take as long as a third of a copy of the weights,
- * and all that time no chunk leaves the origin. So a few agents of each domain
- * read the list and tell it to the others.
+ * A document names a version, and its origin lists the version's chunks. If
+ * every agent of a large fleet read the list, that would take a third as long
+ * as a copy of the weights, and no chunk would leave the origin in that time.
+ * So a few agents of each failure domain read the list and send it to the
+ * others.
  */
 
 #ifndef JACINTHPOND_CORE_CHUNK_LIST_FUNC_H
@@ -15,47 +15,51 @@
 namespace jacinthpond {
 
 /**
- * A document names a version whose list it does not hold: the list is read,
- * now or, where others are to tell it, after a while.
+ * Begins to obtain the chunk list of a version that a document names, unless
+ * that is known or under way: reads it at once, or later if no peer sends it.
  * @param Agent State to change.
  * @param Wanted The version.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void followVersion(AgentState &Agent, const ModelVersion &Wanted, TimePoint Now,
-                   Effects &Out);
+void obtainChunkList(AgentState &Agent, const ModelVersion &Wanted,
+                     TimePoint Now, Effects &Out);
 
 /**
- * Reads the list that is missing, when it is time.
+ * Requests the chunk list of the pending version from its origin, if that is
+ * due.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void readList(AgentState &Agent, TimePoint Now, Effects &Out);
+void requestMissingList(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
- * The origin answered.
+ * Handles the origin's answer to a request for a chunk list. A list is accepted
+ * once two reads agree.
  * @param Agent State to change.
- * @param Version Whose list was asked for.
- * @param Read What came.
+ * @param Version The version whose list was requested.
+ * @param Read The list, or why it could not be read.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return True when the version is wanted from now on.
+ * @return True when the list was accepted and its version selected for loading.
  */
-bool listRead(AgentState &Agent, const ChunkRef &Version,
-              const Outcome<ChunkList> &Read, TimePoint Now, Effects &Out);
+bool handleListRead(AgentState &Agent, const ChunkRef &Version,
+                    const Outcome<ChunkList> &Read, TimePoint Now,
+                    Effects &Out);
 
 /**
- * An agent of this domain told a list that it vouches for.
+ * Handles a chunk list that an agent of this failure domain sent. It is kept if
+ * the document that names its version has not arrived yet.
  * @param Agent State to change.
- * @param Link Over which link.
+ * @param Link Link to the sender.
  * @param Told The list.
  * @param Now Current time.
  * @param Out Effects are appended.
- * @return True when the version is wanted from now on.
+ * @return True when the list was accepted and its version selected for loading.
  */
-bool listTold(AgentState &Agent, LinkId Link, const ChunkListTold &Told,
-              TimePoint Now, Effects &Out);
+bool handleListNotice(AgentState &Agent, LinkId Link, const ChunkListTold &Told,
+                      TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/ended_attempts.cpp
+++ b/packages/core/src/attempts/ended_attempts.cpp
@@ -1,4 +1,4 @@
-/** @file ended_attempts.cpp Memory of ended attempts. */
+/** @file ended_attempts.cpp Record of ended attempts. */
 
 #include "attempts/ended_attempts_func.h"
 
@@ -9,28 +9,31 @@
 
 namespace {
 
-size_t bytesOf(const std::vector<std::string> &Frames) {
+/** Gives the total size of frames. */
+size_t totalBytes(const std::vector<std::string> &Frames) {
   return std::accumulate(
       Frames.begin(), Frames.end(), size_t{0},
       [](size_t All, const std::string &One) { return All + One.size(); });
 }
 
-void forget(EndedAttempts &Ended, const AttemptId &Which) {
-  const auto it = Ended.Known.find(Which);
-  if (it == Ended.Known.end())
+/** Removes an ended attempt from the record, if it is there. */
+void forgetAttempt(EndedAttempts &Ended, const AttemptId &Which) {
+  const auto it = Ended.ById.find(Which);
+  if (it == Ended.ById.end())
     return;
-  Ended.ByExpiry.erase({it->second.Forget, Which});
-  Ended.WithFrames.erase({it->second.Forget, Which});
-  Ended.FrameBytes -= bytesOf(it->second.Frames);
-  Ended.Known.erase(it);
+  Ended.ByExpiry.erase({it->second.ForgetAt, Which});
+  Ended.WithFrames.erase({it->second.ForgetAt, Which});
+  Ended.FrameBytes -= totalBytes(it->second.Frames);
+  Ended.ById.erase(it);
 }
 
-/** Drops answers, first to expire first, until the bytes fit. */
-void dropAnswers(EndedAttempts &Ended) {
+/** Drops stored answers until they fit into MaxEndedBytes; those that expire
+ * first go first. */
+void dropOldAnswers(EndedAttempts &Ended) {
   while (Ended.FrameBytes > MaxEndedBytes) {
     const auto it = Ended.WithFrames.begin();
-    EndedAttempt &One = Ended.Known.at(it->second);
-    Ended.FrameBytes -= bytesOf(One.Frames);
+    EndedAttempt &One = Ended.ById.at(it->second);
+    Ended.FrameBytes -= totalBytes(One.Frames);
     One.Frames = {};
     Ended.WithFrames.erase(it);
   }
@@ -40,31 +43,31 @@
 
 void rememberEnded(EndedAttempts &Ended, const AttemptId &Which,
                    EndedAttempt One, TimePoint Now) {
-  forget(Ended, Which);
-  if (Ended.Known.size() >= MaxEndedAttempts) {
+  forgetAttempt(Ended, Which);
+  if (Ended.ById.size() >= MaxEndedAttempts) {
     const auto [Expiry, Oldest] = *Ended.ByExpiry.begin();
-    // "Never seen" would be a guess until the time of the forgotten one has
-    // passed, and the entry would take it for "not run".
+    // Until the forgotten one would have expired, an unknown attempt may have
+    // run; "never seen" would tell the entry that it did not.
     Ended.CompleteSince = std::max(Ended.CompleteSince, Expiry);
-    forget(Ended, Oldest);
+    forgetAttempt(Ended, Oldest);
   }
-  Ended.FrameBytes += bytesOf(One.Frames);
-  Ended.ByExpiry.insert({One.Forget, Which});
+  Ended.FrameBytes += totalBytes(One.Frames);
+  Ended.ByExpiry.insert({One.ForgetAt, Which});
   if (!One.Frames.empty())
-    Ended.WithFrames.insert({One.Forget, Which});
-  Ended.Known[Which] = std::move(One);
-  dropAnswers(Ended);
+    Ended.WithFrames.insert({One.ForgetAt, Which});
+  Ended.ById[Which] = std::move(One);
+  dropOldAnswers(Ended);
   expireEnded(Ended, Now);
 }
 
 void expireEnded(EndedAttempts &Ended, TimePoint Now) {
   while (!Ended.ByExpiry.empty() && Ended.ByExpiry.begin()->first <= Now) {
     const AttemptId Which = Ended.ByExpiry.begin()->second;
-    forget(Ended, Which);
+    forgetAttempt(Ended, Which);
   }
 }
 
-bool endedIsComplete(const EndedAttempts &Ended, TimePoint Now) {
+bool isEndedComplete(const EndedAttempts &Ended, TimePoint Now) {
   return Now >= Ended.CompleteSince;
 }
 
--- a/packages/core/src/attempts/ended_attempts_func.h
+++ b/packages/core/src/attempts/ended_attempts_func.h
@@ -1,9 +1,9 @@
-/** @file ended_attempts_func.h Memory of ended attempts.
+/** @file ended_attempts_func.h Record of ended attempts.
  *
- * It answers two failures. A start that arrives twice, or after its attempt
- * was refused as not run, would run although the caller was told otherwise.
- * A link that goes silent takes the end of an answer with it, and the entry
- * asks for it over the next link.
+ * It guards against two failures. An AttemptStart that arrives twice, or after
+ * its attempt was refused as not run, would run although the caller was told
+ * otherwise. And when a link fails silently, the end of an answer is lost with
+ * it; the entry then asks for it over the next link.
  */
 
 #ifndef JACINTHPOND_CORE_ENDED_ATTEMPTS_FUNC_H
@@ -13,41 +13,43 @@
 
 namespace jacinthpond {
 
-/** Attempts remembered at most. */
+/** Attempts in the record at most; above it those that expire first go. */
 constexpr size_t MaxEndedAttempts = 20000;
-/** Bytes of answers remembered at most; above it the oldest lose theirs. */
+/** Bytes of answers in the record at most; above it answers that expire first
+ * are dropped. */
 constexpr size_t MaxEndedBytes = size_t{16} << 20U;
 /**
- * How long an attempt is remembered after its deadline. An entry asks only
- * before its call's deadline and for seconds after a link was lost, and a start
- * can be under way no longer than a link may be silent: a minute is above both.
+ * How long an attempt is kept after its deadline. Entries ask for it only until
+ * the deadline and for some seconds after a lost link, and a message is under
+ * way no longer than a link may be silent. A minute is longer than both.
  */
-constexpr Millis EndedKeep{60000};
+constexpr Millis EndedRetention{60000};
 
 /**
- * Remembers an attempt that ended; it replaces what was known of it.
- * @param Ended Memory to change.
+ * Adds an ended attempt to the record, or replaces it there.
+ * @param Ended The record.
  * @param Which The attempt.
- * @param One How it ended; Forget says until when it is kept.
+ * @param One How it ended and when it is to be forgotten.
  * @param Now Current time.
  */
 void rememberEnded(EndedAttempts &Ended, const AttemptId &Which,
                    EndedAttempt One, TimePoint Now);
 
 /**
- * Forgets what is past its time.
- * @param Ended Memory to change.
+ * Removes attempts whose time to be forgotten has come.
+ * @param Ended The record.
  * @param Now Current time.
  */
 void expireEnded(EndedAttempts &Ended, TimePoint Now);
 
 /**
- * Says whether an attempt that is not remembered was never seen.
- * @param Ended The memory.
+ * Says whether an attempt that is not in the record was certainly never seen.
+ * @param Ended The record.
  * @param Now Current time.
- * @return False when attempts were forgotten early for lack of space.
+ * @return False while attempts are missing that were removed before their time
+ *   for lack of space.
  */
-bool endedIsComplete(const EndedAttempts &Ended, TimePoint Now);
+bool isEndedComplete(const EndedAttempts &Ended, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/ended_attempts_type.h
+++ b/packages/core/src/attempts/ended_attempts_type.h
@@ -1,4 +1,4 @@
-/** @file ended_attempts_type.h What an agent remembers of ended attempts. */
+/** @file ended_attempts_type.h Record of ended attempts at an agent. */
 
 #ifndef JACINTHPOND_CORE_ENDED_ATTEMPTS_TYPE_H
 #define JACINTHPOND_CORE_ENDED_ATTEMPTS_TYPE_H
@@ -16,22 +16,22 @@
 
 namespace jacinthpond {
 
-/** One attempt that has its final message. */
+/** An attempt whose final message has been sent. */
 struct EndedAttempt {
-  std::variant<AttemptFailed, AnswerEnd> Final; ///< How it ended.
-  std::optional<Digest> Weights;   ///< Set once the back end had begun.
+  std::variant<AttemptFailed, AnswerEnd> Final; ///< Final message.
+  std::optional<Digest> Weights;   ///< Set if the back end had begun.
   uint64_t FirstFrame = 0;         ///< Sequence of Frames.front().
-  std::vector<std::string> Frames; ///< The answer; dropped when space is short.
-  TimePoint Forget;                ///< When it is forgotten.
+  std::vector<std::string> Frames; ///< The answer; dropped for lack of space.
+  TimePoint ForgetAt;              ///< When it is removed.
 };
 
-/** Ended attempts of the last while, bounded in number, bytes and time. */
+/** Recently ended attempts, bounded in number, bytes and time. */
 struct EndedAttempts {
-  std::map<AttemptId, EndedAttempt> Known;              ///< By attempt.
-  std::set<std::pair<TimePoint, AttemptId>> ByExpiry;   ///< First to go first.
+  std::map<AttemptId, EndedAttempt> ById;               ///< By attempt.
+  std::set<std::pair<TimePoint, AttemptId>> ByExpiry;   ///< By ForgetAt.
   std::set<std::pair<TimePoint, AttemptId>> WithFrames; ///< Those with Frames.
-  size_t FrameBytes = 0;   ///< Bytes in all Frames.
-  TimePoint CompleteSince; ///< No attempt was forgotten early after this.
+  size_t FrameBytes = 0;   ///< Total size of all Frames.
+  TimePoint CompleteSince; ///< No attempt is missing from then on.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/keyed_attempt.cpp
+++ b/packages/core/src/attempts/keyed_attempt.cpp
@@ -1,4 +1,5 @@
-/** @file keyed_attempt.cpp Non-repeatable calls at the agent that is home. */
+/** @file keyed_attempt.cpp Attempts with an idempotency key, at the home agent.
+ */
 
 #include "attempts/keyed_attempt_func.h"
 
@@ -12,51 +13,56 @@
 
 namespace {
 
-KeyName nameOf(const AttemptStart &m) { return {m.Class, m.Tenant, m.Key}; }
+/** Gives the full name of an attempt's idempotency key. */
+KeyName keyNameOf(const AttemptStart &m) { return {m.Class, m.Tenant, m.Key}; }
 
-KeyAsked askedOf(const AttemptStart &m) {
-  return {nameOf(m), m.Token, sha256(m.Body)};
+/** Describes a keyed call: key, home token and digest of the body. */
+KeyAsked keyCallOf(const AttemptStart &m) {
+  return {keyNameOf(m), m.Token, sha256(m.Body)};
 }
 
-/** Gives the record that an attempt is the first one of, or null. */
-KeyRecord *recordOf(AgentState &Agent, const AttemptStart &Asked) {
+/** Finds the key record that an attempt created; null if another one did. */
+KeyRecord *findOwnRecord(AgentState &Agent, const AttemptStart &Asked) {
   if (Asked.Key.Value.empty())
     return nullptr;
-  const auto it = Agent.Keys.Records.find(nameOf(Asked));
+  const auto it = Agent.Keys.Records.find(keyNameOf(Asked));
   if (it == Agent.Keys.Records.end() || it->second.First != Asked.Attempt)
     return nullptr;
   return &it->second;
 }
 
-/** Refuses a key that did not run and bars it from running later. */
-void refuseForGood(AgentState &Agent, const AttemptStart &Asked,
-                   const Failure &Why, TimePoint Now, Effects &Out) {
-  openKeyOf(Agent, Asked, Now);
+/** Refuses an attempt that did not run, and records its key so that it never
+ * runs. */
+void refusePermanently(AgentState &Agent, const AttemptStart &Asked,
+                       const Failure &Why, TimePoint Now, Effects &Out) {
+  recordKeyOf(Agent, Asked, Now);
   failAttempt(Agent, Asked.Attempt, Why, Ran::No, Out);
 }
 
-void follow(AgentState &Agent, const AttemptStart &Asked) {
-  KeyRecord &Record = Agent.Keys.Records.at(nameOf(Asked));
+/** Lets a repeat wait for the result of the first attempt with its key. */
+void waitForFirst(AgentState &Agent, const AttemptStart &Asked) {
+  KeyRecord &Record = Agent.Keys.Records.at(keyNameOf(Asked));
   ++Agent.Counters.KeyRepeats;
   Agent.Attempts.at(Asked.Attempt).State = AttemptKnown::Running;
   Record.Followers.push_back(Asked.Attempt);
 }
 
+/** Completes an attempt with an answer of the plain service. */
 void sendAnswer(AgentState &Agent, const AttemptId &Which,
                 const ServiceAnswer &Answer, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
     return;
-  if (!it->second.Begun)
-    tellBegun(it->second, {}, Out);
+  if (!it->second.BegunSent)
+    sendBegun(it->second, {}, Out);
   sendFrame(it->second, Answer.Body, Out);
   finishAttempt(Agent, Which, Answer.Status, Out);
 }
 
-/** Repeats the outcome that the key has. */
-void repeatOutcome(AgentState &Agent, const AttemptStart &Asked, Effects &Out) {
+/** Answers a repeat with the recorded result of its key. */
+void replayOutcome(AgentState &Agent, const AttemptStart &Asked, Effects &Out) {
   ++Agent.Counters.KeyRepeats;
-  const KeyRecord &Record = Agent.Keys.Records.at(nameOf(Asked));
+  const KeyRecord &Record = Agent.Keys.Records.at(keyNameOf(Asked));
   if (Record.Answer) {
     const ServiceAnswer Answer = *Record.Answer;
     sendAnswer(Agent, Asked.Attempt, Answer, Out);
@@ -67,9 +73,9 @@
               Ran::Unknown, Out);
 }
 
-/** Carries out a verdict that is not "run". */
-void carryOut(AgentState &Agent, const AttemptStart &Asked,
-              const KeyVerdict &Verdict, Effects &Out) {
+/** Applies a verdict on a keyed call, other than to run it. */
+void applyVerdict(AgentState &Agent, const AttemptStart &Asked,
+                  const KeyVerdict &Verdict, Effects &Out) {
   const auto End = [&](ErrorKind Kind, Ran Executed) {
     failAttempt(Agent, Asked.Attempt,
                 {Kind, Verdict.Detail, Verdict.RetryAfter}, Executed, Out);
@@ -78,9 +84,9 @@
   case KeyChoice::Run:
     return;
   case KeyChoice::Follow:
-    return follow(Agent, Asked);
+    return waitForFirst(Agent, Asked);
   case KeyChoice::Answer:
-    return repeatOutcome(Agent, Asked, Out);
+    return replayOutcome(Agent, Asked, Out);
   case KeyChoice::Refuse:
     return End(ErrorKind::NoWorker, Ran::No);
   case KeyChoice::Conflict:
@@ -94,53 +100,54 @@
 
 } // namespace
 
-bool answerByKey(AgentState &Agent, const Attempt &One,
-                 std::optional<ErrorKind> Standing, TimePoint Now,
-                 Effects &Out) {
+bool answerFromKeyRecord(AgentState &Agent, const Attempt &One,
+                         std::optional<ErrorKind> Refusal, TimePoint Now,
+                         Effects &Out) {
   const AttemptStart &Asked = One.Asked;
   KeyVerdict Verdict{KeyChoice::Warming, Millis{0}, "no configuration yet"};
   if (Agent.View.InForce)
     Verdict = judgeKey(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
-                       askedOf(Asked), Now);
-  if (Verdict.Choice == KeyChoice::Run && !Standing)
+                       keyCallOf(Asked), Now);
+  if (Verdict.Choice == KeyChoice::Run && !Refusal)
     return false;
   Agent.Attempts[Asked.Attempt] = One;
   if (Verdict.Choice == KeyChoice::Run)
-    refuseForGood(Agent, Asked, {*Standing, "", {}}, Now, Out);
+    refusePermanently(Agent, Asked, {*Refusal, "", {}}, Now, Out);
   else
-    carryOut(Agent, Asked, Verdict, Out);
+    applyVerdict(Agent, Asked, Verdict, Out);
   return true;
 }
 
-void openKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now) {
-  openKey(Agent.Keys, *Agent.View.InForce, askedOf(Asked), Asked.Attempt, Now);
+void recordKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now) {
+  openKey(Agent.Keys, *Agent.View.InForce, keyCallOf(Asked), Asked.Attempt,
+          Now);
 }
 
-void keyBegan(AgentState &Agent, const AttemptStart &Asked) {
-  if (KeyRecord *Record = recordOf(Agent, Asked))
+void markKeyRunning(AgentState &Agent, const AttemptStart &Asked) {
+  if (KeyRecord *Record = findOwnRecord(Agent, Asked))
     Record->State = KeyState::Running;
 }
 
-void keyFailed(AgentState &Agent, const AttemptStart &Asked, const Failure &Why,
-               Ran Executed, Effects &Out) {
-  const KeyRecord *Record = recordOf(Agent, Asked);
+void settleFailedKey(AgentState &Agent, const AttemptStart &Asked,
+                     const Failure &Why, Ran Executed, Effects &Out) {
+  const KeyRecord *Record = findOwnRecord(Agent, Asked);
   const bool Open = Record != nullptr && (Record->State == KeyState::Waiting ||
                                           Record->State == KeyState::Running);
   if (!Open)
     return;
-  const KeyName Key = nameOf(Asked);
-  const std::vector<AttemptId> Told =
+  const KeyName Key = keyNameOf(Asked);
+  const std::vector<AttemptId> Repeats =
       Executed == Ran::No ? refuseKey(Agent.Keys, Key, Agent.Fleet.LastTick)
                           : closeKey(Agent.Keys, Key, std::nullopt);
-  for (const AttemptId &One : Told)
+  for (const AttemptId &One : Repeats)
     failAttempt(Agent, One, Why, Executed, Out);
 }
 
-void keyAnswered(AgentState &Agent, const AttemptStart &Asked,
-                 const ServiceAnswer &Answer, Effects &Out) {
-  if (recordOf(Agent, Asked) == nullptr)
+void settleAnsweredKey(AgentState &Agent, const AttemptStart &Asked,
+                       const ServiceAnswer &Answer, Effects &Out) {
+  if (findOwnRecord(Agent, Asked) == nullptr)
     return;
-  for (const AttemptId &One : closeKey(Agent.Keys, nameOf(Asked), Answer))
+  for (const AttemptId &One : closeKey(Agent.Keys, keyNameOf(Asked), Answer))
     sendAnswer(Agent, One, Answer, Out);
 }
 
--- a/packages/core/src/attempts/keyed_attempt_func.h
+++ b/packages/core/src/attempts/keyed_attempt_func.h
@@ -1,4 +1,8 @@
-/** @file keyed_attempt_func.h Non-repeatable calls at the agent that is home.
+/** @file keyed_attempt_func.h Attempts with an idempotency key, at the home
+ * agent.
+ *
+ * The home agent of a key keeps the record of its result, so that a call that
+ * is not repeatable runs once and a repeat gets the same answer.
  */
 
 #ifndef JACINTHPOND_CORE_KEYED_ATTEMPT_FUNC_H
@@ -12,55 +16,56 @@
 namespace jacinthpond {
 
 /**
- * Looks a keyed attempt up in the home's memory and answers it when it must
- * not run.
+ * Looks up the record of an attempt's key, and answers or refuses the attempt
+ * when it must not run.
  * @param Agent State to change.
- * @param One The attempt; not among the open ones yet.
- * @param Standing Why this agent takes no new work; nothing: it does.
+ * @param One The attempt; not yet in Agent.Attempts.
+ * @param Refusal Why this agent accepts no new work; nothing: it does.
  * @param Now Current time.
  * @param Out Effects are appended.
  * @return False when the attempt may ask for admission.
  */
-bool answerByKey(AgentState &Agent, const Attempt &One,
-                 std::optional<ErrorKind> Standing, TimePoint Now,
-                 Effects &Out);
+bool answerFromKeyRecord(AgentState &Agent, const Attempt &One,
+                         std::optional<ErrorKind> Refusal, TimePoint Now,
+                         Effects &Out);
 
 /**
- * Remembers the key of an attempt that is about to wait or run.
+ * Creates the key record of an attempt that is about to be queued or to run.
  * @param Agent State to change.
- * @param Asked The attempt's start.
+ * @param Asked Request for the attempt.
  * @param Now Current time.
  */
-void openKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now);
+void recordKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now);
 
 /**
- * The back end is about to get a keyed attempt.
+ * Marks the key of an attempt as running, just before the back end gets it.
  * @param Agent State to change.
- * @param Asked The attempt's start.
+ * @param Asked Request for the attempt.
  */
-void keyBegan(AgentState &Agent, const AttemptStart &Asked);
+void markKeyRunning(AgentState &Agent, const AttemptStart &Asked);
 
 /**
- * An attempt ended without an answer: its key is settled, and repeats that
- * wait for it get the same.
+ * Records that an attempt ended without an answer, and fails the repeats that
+ * wait for its key in the same way.
  * @param Agent State to change.
- * @param Asked The attempt's start.
- * @param Why Kind and detail.
+ * @param Asked Request for the attempt.
+ * @param Why Kind and detail of the error.
  * @param Executed Whether the work ran.
  * @param Out Effects are appended.
  */
-void keyFailed(AgentState &Agent, const AttemptStart &Asked, const Failure &Why,
-               Ran Executed, Effects &Out);
+void settleFailedKey(AgentState &Agent, const AttemptStart &Asked,
+                     const Failure &Why, Ran Executed, Effects &Out);
 
 /**
- * The back end answered an attempt: repeats that wait get the same answer.
+ * Records the back end's answer to an attempt under its key, and sends it to
+ * the repeats that wait for it.
  * @param Agent State to change.
- * @param Asked The attempt's start.
+ * @param Asked Request for the attempt.
  * @param Answer The answer.
  * @param Out Effects are appended.
  */
-void keyAnswered(AgentState &Agent, const AttemptStart &Asked,
-                 const ServiceAnswer &Answer, Effects &Out);
+void settleAnsweredKey(AgentState &Agent, const AttemptStart &Asked,
+                       const ServiceAnswer &Answer, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/place.cpp
+++ b/packages/core/src/attempts/place.cpp
@@ -16,37 +16,38 @@
 
 namespace {
 
-/** Priority of rank 0; later ranks come below it. */
-constexpr uint32_t FirstPriority = 100;
+/** Queue priority of rank 0; each later rank is one lower. */
+constexpr uint32_t RankZeroPriority = 100;
 /**
- * How long a place stays taken after its link was lost. An entry that lives
- * ends its requests within that time or asks anew; the back end ends those of
- * one that died, whose connections are gone.
+ * How long a place is held after its link was lost. A live entry ends its
+ * requests within that time or asks again. The back end ends the requests of a
+ * dead entry, since their connections are closed.
  */
-constexpr Millis LostLinkKeep{2000};
-/** How long a place stays taken when its end was never told. */
-constexpr Millis ForgottenAfter{20000};
+constexpr Millis LostLinkTimeout{2000};
+/** How long a place is held when the entry does not release it. */
+constexpr Millis MaxHeldTime{20000};
 
 /**
- * Places that are kept free for requests on time when one that is late gets
- * one: some come before the next answer ends.
+ * Places that late requests leave free for requests that can be on time: some
+ * of these arrive before the next running request ends.
  */
-constexpr uint32_t KeptForOthers = 3;
-/** A small back end keeps this part of its places at most. */
-constexpr uint32_t KeptPart = 4;
-/** Reading beside which a late request holds up nobody. */
-constexpr Millis SpareReading{5};
-/** Part of the rate that a cold back end bears which is given out. Requests
- * bunch up on their way, and entries that do not see this agent send more. */
-constexpr double ColdPart = 0.7;
-/** Late requests that wait at most; half of what usually runs ends in the time
- * that they wait. */
-constexpr size_t MostSpareWaiting = 8;
-
-/** Answers, and notes what the answer was decided by. */
-void answer(const AgentState &Agent, LinkId Link, const PlaceAsk &Asked,
-            const Failure *Refusal, Duration Waited, TimePoint Now,
-            Effects &Out) {
+constexpr uint32_t ReservedPlaces = 3;
+/** At most one place in this many is reserved, for small back ends. */
+constexpr uint32_t ReservedDivisor = 4;
+/** Longest remaining prompt reading at which a late request delays no other. */
+constexpr Millis MaxSpareReading{5};
+/** Share of a cold back end's rate limit that is used. Requests bunch up in the
+ * network, and entries without a link to this agent send more. */
+constexpr double ColdRateShare = 0.7;
+/** Late requests in the queue at most. While they wait, half of the requests
+ * that usually run end. */
+constexpr size_t MaxSpareWaiting = 8;
+
+/** Answers a request for a place and logs the values that decided the answer.
+ * @param Refusal Null when the place is granted. */
+void sendPlaceAnswer(const AgentState &Agent, LinkId Link,
+                     const PlaceAsk &Asked, const Failure *Refusal,
+                     Duration Waited, TimePoint Now, Effects &Out) {
   PlaceAnswer m;
   m.Place = Asked.Place;
   m.ReadingMillis =
@@ -78,173 +79,182 @@
                : "-")});
 }
 
-/** Refuses one that did not wait. */
-void refuseAtOnce(const AgentState &Agent, LinkId Link, const PlaceAsk &m,
-                  ErrorKind Kind, Millis RetryAfter, TimePoint Now,
-                  Effects &Out) {
+/** Refuses a request for a place that was not queued. */
+void refuseRequest(const AgentState &Agent, LinkId Link, const PlaceAsk &m,
+                   ErrorKind Kind, Millis RetryAfter, TimePoint Now,
+                   Effects &Out) {
   const Failure Why{Kind, "", RetryAfter};
-  answer(Agent, Link, m, &Why, Duration{0}, Now, Out);
+  sendPlaceAnswer(Agent, Link, m, &Why, Duration{0}, Now, Out);
 }
 
-/** Says whether what is loaded was replaced too long ago to begin anything. */
-bool weightsTooOld(const AgentState &Agent, TimePoint Now) {
+/** Says whether newer weights were published too long ago for a request to
+ * begin on the loaded ones. */
+bool hasOutdatedWeights(const AgentState &Agent, TimePoint Now) {
   return isTooOldToServe(Agent.Weights, formerWeightsTime(Agent.Config), Now);
 }
 
-/** Says why no place at all is given now, or nothing. */
-std::optional<ErrorKind> standingRefusal(const AgentState &Agent,
-                                         TimePoint Now) {
+/** Gives the reason why no place can be granted now, if any. */
+std::optional<ErrorKind> refusalReason(const AgentState &Agent, TimePoint Now) {
   if (agentIsLeaving(Agent))
     return ErrorKind::Leaving;
   if (!Agent.BackEndUp)
     return ErrorKind::NoWorker;
-  // Whether its domain may be used is for the entry to say, which has the
-  // document as well; what cannot be served at all is known here. So is when
-  // its weights were replaced: an entry that was out of touch may believe that
-  // they still begin requests.
+  // The entry checks whether this failure domain may be used, since it has the
+  // document too. The agent checks what the back end can serve, and the age of
+  // its weights: an entry that was cut off may not know that they are outdated.
   if (Agent.Weights.Draining || Agent.Weights.Loading ||
       Agent.Weights.EngineBusy || Agent.Weights.Loaded.Value.empty() ||
-      weightsTooOld(Agent, Now))
+      hasOutdatedWeights(Agent, Now))
     return ErrorKind::WeightsNotReady;
   return std::nullopt;
 }
 
-Millis millis(uint64_t Count) { return Millis(static_cast<int64_t>(Count)); }
+/** Converts a number of milliseconds from a message. */
+Millis toDuration(uint64_t Count) {
+  return Millis(static_cast<int64_t>(Count));
+}
 
 /**
- * Gives how long a request may wait for a place and still have its first part
- * in time. One that is given a place later is late, and makes those behind it
- * late too, while fresh ones could still be on time.
+ * Gives how long a request may wait for a place and still have the first part
+ * of its answer on time. A later grant makes it late, and those behind it too,
+ * while fresh requests could still be on time.
  */
-Duration usefulWait(const AgentState &Agent, const PlaceAsk &m) {
-  const Duration Longest = millis(m.WaitMillis);
+Duration maxUsefulWait(const AgentState &Agent, const PlaceAsk &m) {
+  const Duration Longest = toDuration(m.WaitMillis);
   if (m.FirstPartMillis == 0)
     return Longest;
   const Duration Takes = firstPartAfter(
       Agent.FirstPart, readingTime(Agent.Reading, m.PromptTokens));
-  return std::clamp(millis(m.FirstPartMillis) - Takes, Duration{0}, Longest);
+  return std::clamp(toDuration(m.FirstPartMillis) - Takes, Duration{0},
+                    Longest);
 }
 
+/** Records a place that is queued or about to be granted. */
 void addPlace(AgentState &Agent, LinkId Link, const PlaceAsk &m,
               Duration MayWait, TimePoint Now) {
   Place One;
   One.Link = Link;
-  One.Ask = m;
-  One.Asked = One.Since = Now;
+  One.Request = m;
+  One.RequestedAt = One.GrantedAt = Now;
   One.WaitUntil = Now + MayWait;
   Agent.Places[m.Place] = One;
 }
 
-/** Takes a place out of the queue in which it waits. */
-void stopWaitingForPlace(AgentState &Agent, const AttemptId &Which) {
+/** Removes a place from the queue in which it waits. */
+void dequeuePlace(AgentState &Agent, const AttemptId &Which) {
   stopWaiting(Agent.Gate, Which);
-  std::erase(Agent.SparePlaces, Which);
+  std::erase(Agent.SpareQueue, Which);
 }
 
-bool hasSpareRoom(AgentState &Agent, TimePoint Now) {
-  const uint32_t Kept = std::min(KeptForOthers, Agent.Gate.Limit / KeptPart);
-  return runsAtOnce(Agent.Gate, Kept) && agentRateAllows(Agent, Now) &&
-         readingLeft(Agent.Reading, Now) <= SpareReading;
+/** Says whether a late request can run now without delaying others. */
+bool hasSpareCapacity(AgentState &Agent, TimePoint Now) {
+  const uint32_t Kept =
+      std::min(ReservedPlaces, Agent.Gate.Limit / ReservedDivisor);
+  return runsAtOnce(Agent.Gate, Kept) && isWithinRateLimits(Agent, Now) &&
+         readingLeft(Agent.Reading, Now) <= MaxSpareReading;
 }
 
-/** Lets a late request wait for spare room, if it may come in time. */
-void takeSpareAsk(AgentState &Agent, LinkId Link, const PlaceAsk &m,
-                  TimePoint Now, Effects &Out) {
-  giveSparePlaces(Agent, Now, Out);
-  // In a lasting shortage there is no spare room at all: whoever waits for it
-  // is told after his wait what is known now.
-  const bool Lasting = Now - Agent.SpareRoomAt > millis(m.WaitMillis);
-  if (Lasting || Agent.SparePlaces.size() >= MostSpareWaiting) {
-    refuseAtOnce(Agent, Link, m, ErrorKind::Overloaded,
-                 timeToComeBack(Agent.Gate), Now, Out);
+/** Grants or queues a late request for spare capacity; refuses it if capacity
+ * is unlikely to become free while it waits. */
+void handleSpareRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+                        TimePoint Now, Effects &Out) {
+  grantSparePlaces(Agent, Now, Out);
+  // In a lasting overload there is no spare capacity at all. A queued request
+  // would only be refused later.
+  const bool IsLasting = Now - Agent.LastSpareRoomAt > toDuration(m.WaitMillis);
+  if (IsLasting || Agent.SpareQueue.size() >= MaxSpareWaiting) {
+    refuseRequest(Agent, Link, m, ErrorKind::Overloaded,
+                  timeToComeBack(Agent.Gate), Now, Out);
     return;
   }
-  addPlace(Agent, Link, m, millis(m.WaitMillis), Now);
-  Agent.SparePlaces.push_back(m.Place);
-  giveSparePlaces(Agent, Now, Out);
+  addPlace(Agent, Link, m, toDuration(m.WaitMillis), Now);
+  Agent.SpareQueue.push_back(m.Place);
+  grantSparePlaces(Agent, Now, Out);
 }
 
-/** Says whether the back end is too busy for an entry that looks for an idle
+/** Says whether the back end is too busy for a request that asks for an idle
  * one. */
-bool isBusier(const AgentState &Agent, const PlaceAsk &m, TimePoint Now) {
+bool isTooBusy(const AgentState &Agent, const PlaceAsk &m, TimePoint Now) {
   return m.MostReadingMillis > 0 &&
          (!runsAtOnce(Agent.Gate) ||
           readingLeft(Agent.Reading, Now) > Millis(m.MostReadingMillis));
 }
 
-Admittee admitteeOf(const AgentState &Agent, const PlaceAsk &m,
-                    Duration MayWait) {
+/** Describes a place to admission control: workspace, priority, time left. */
+Admittee admissionRequestOf(const AgentState &Agent, const PlaceAsk &m,
+                            Duration MayWait) {
   Admittee One;
   One.Who = {m.Place, m.Tenant, 1,
-             FirstPriority - std::min(m.Rank, FirstPriority)};
-  // The wait is bounded until the begin; the queue counts to the end.
+             RankZeroPriority - std::min(m.Rank, RankZeroPriority)};
+  // MayWait ends with the begin of the run; admission counts until its end.
   One.Remaining = MayWait + Agent.Gate.ServiceTime;
   return One;
 }
 
 } // namespace
 
-void takePlaceAsk(AgentState &Agent, LinkId Link, const PlaceAsk &m,
-                  TimePoint Now, Effects &Out) {
+void handlePlaceRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+                        TimePoint Now, Effects &Out) {
   if (Agent.Places.contains(m.Place))
-    return; // Asked twice: the first answer counts.
-  if (const auto Standing = standingRefusal(Agent, Now)) {
-    refuseAtOnce(Agent, Link, m, *Standing, Millis{0}, Now, Out);
+    return; // A repeat; the first answer counts.
+  if (const auto Refusal = refusalReason(Agent, Now)) {
+    refuseRequest(Agent, Link, m, *Refusal, Millis{0}, Now, Out);
     return;
   }
-  if (!agentRateAllows(Agent, Now)) {
-    // Others of the service may have room, so that none waits here.
+  if (!isWithinRateLimits(Agent, Now)) {
+    // Not queued: other back ends of the service may have capacity.
     const Duration Wait = std::max(timeToRequest(Agent.Rate, Now),
-                                   timeToRequest(Agent.Cold, Now));
+                                   timeToRequest(Agent.ColdStartRate, Now));
     ++Agent.Counters.Refused[ErrorKind::RateLimited];
-    refuseAtOnce(Agent, Link, m, ErrorKind::RateLimited,
-                 std::max(toMillis(Wait), Millis(1)), Now, Out);
+    refuseRequest(Agent, Link, m, ErrorKind::RateLimited,
+                  std::max(toMillis(Wait), Millis(1)), Now, Out);
     return;
   }
   if (m.Spare) {
-    takeSpareAsk(Agent, Link, m, Now, Out);
+    handleSpareRequest(Agent, Link, m, Now, Out);
     return;
   }
-  if (isBusier(Agent, m, Now)) {
-    refuseAtOnce(Agent, Link, m, ErrorKind::Overloaded,
-                 timeToComeBack(Agent.Gate), Now, Out);
+  if (isTooBusy(Agent, m, Now)) {
+    refuseRequest(Agent, Link, m, ErrorKind::Overloaded,
+                  timeToComeBack(Agent.Gate), Now, Out);
     return;
   }
-  const Duration MayWait = usefulWait(Agent, m);
-  const AdmissionAnswer Admitted = askToRun(
-      Agent.Gate, admitteeOf(Agent, m, MayWait), mayRead(Agent.Reading, Now));
+  const Duration MayWait = maxUsefulWait(Agent, m);
+  const AdmissionAnswer Admitted =
+      askToRun(Agent.Gate, admissionRequestOf(Agent, m, MayWait),
+               mayRead(Agent.Reading, Now));
   if (Admitted.PushedOut)
     refusePlace(Agent, *Admitted.PushedOut,
                 {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
   if (Admitted.May == Admitted::Refuse) {
-    refuseAtOnce(Agent, Link, m, ErrorKind::Overloaded, Admitted.RetryAfter,
-                 Now, Out);
+    refuseRequest(Agent, Link, m, ErrorKind::Overloaded, Admitted.RetryAfter,
+                  Now, Out);
     return;
   }
   addPlace(Agent, Link, m, MayWait, Now);
   if (Admitted.May == Admitted::Run)
-    givePlace(Agent, m.Place, Now, Out);
+    grantPlace(Agent, m.Place, Now, Out);
 }
 
-void giveSparePlaces(AgentState &Agent, TimePoint Now, Effects &Out) {
-  if (hasSpareRoom(Agent, Now))
-    Agent.SpareRoomAt = Now;
-  while (!Agent.SparePlaces.empty() && hasSpareRoom(Agent, Now)) {
-    const AttemptId Which = Agent.SparePlaces.front();
-    Agent.SparePlaces.pop_front();
+void grantSparePlaces(AgentState &Agent, TimePoint Now, Effects &Out) {
+  if (hasSpareCapacity(Agent, Now))
+    Agent.LastSpareRoomAt = Now;
+  while (!Agent.SpareQueue.empty() && hasSpareCapacity(Agent, Now)) {
+    const AttemptId Which = Agent.SpareQueue.front();
+    Agent.SpareQueue.pop_front();
     Admittee One;
     One.Who.Attempt = Which;
-    askToRun(Agent.Gate, One); // Runs: there is more room than it needs.
-    givePlace(Agent, Which, Now, Out);
+    askToRun(Agent.Gate, One); // Always admitted: there is spare capacity.
+    grantPlace(Agent, Which, Now, Out);
   }
 }
 
-void givePlaceInTime(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-                     Effects &Out) {
+void grantOrRefusePlace(AgentState &Agent, const AttemptId &Which,
+                        TimePoint Now, Effects &Out) {
   const Place &One = Agent.Places.at(Which);
-  // Its own prompt is allowed for in the wait, those before it are not.
+  // WaitUntil already allows for its own prompt, but not for those before it.
   if (Now + readingLeft(Agent.Reading, Now) <= One.WaitUntil) {
-    givePlace(Agent, Which, Now, Out);
+    grantPlace(Agent, Which, Now, Out);
     return;
   }
   runEnded(Agent.Gate, Which, RunEnd::NotBegun, {});
@@ -252,16 +262,17 @@
               {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
 }
 
-void givePlace(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-               Effects &Out) {
+void grantPlace(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+                Effects &Out) {
   Place &One = Agent.Places.at(Which);
-  One.Given = true;
-  One.Since = Now;
-  countAtBackEnd(Agent, Now);
-  addReading(Agent.Reading, One.Ask.PromptTokens, Now);
-  One.Reading = readingLeft(Agent.Reading, Now);
+  One.Granted = true;
+  One.GrantedAt = Now;
+  countBackEndRequest(Agent, Now);
+  addReading(Agent.Reading, One.Request.PromptTokens, Now);
+  One.ReadingAtGrant = readingLeft(Agent.Reading, Now);
   ++Agent.Counters.Started;
-  answer(Agent, One.Link, One.Ask, nullptr, Now - One.Asked, Now, Out);
+  sendPlaceAnswer(Agent, One.Link, One.Request, nullptr, Now - One.RequestedAt,
+                  Now, Out);
 }
 
 void refusePlace(AgentState &Agent, const AttemptId &Which, const Failure &Why,
@@ -272,64 +283,66 @@
     return;
   ++Agent.Counters.Refused[Why.Kind];
   const Place &One = it->second;
-  answer(Agent, One.Link, One.Ask, &Why, Now - One.Asked, Now, Out);
+  sendPlaceAnswer(Agent, One.Link, One.Request, &Why, Now - One.RequestedAt,
+                  Now, Out);
   Agent.Places.erase(it);
 }
 
-void placeDone(AgentState &Agent, const PlaceDone &m, TimePoint Now,
-               Effects &Out) {
+void handlePlaceRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
+                        Effects &Out) {
   const auto it = Agent.Places.find(m.Place);
   if (it == Agent.Places.end())
     return;
   const Place One = it->second;
   Agent.Places.erase(it);
-  if (!One.Given) {
-    stopWaitingForPlace(Agent, m.Place);
+  if (!One.Granted) {
+    dequeuePlace(Agent, m.Place);
     return;
   }
   if (m.FirstPartMillis > 0)
-    firstPartSeen(Agent.FirstPart, millis(m.FirstPartMillis), One.Reading);
+    firstPartSeen(Agent.FirstPart, toDuration(m.FirstPartMillis),
+                  One.ReadingAtGrant);
   if (!m.Sent) {
     uncountRequest(Agent.Rate);
     if (Now < Agent.ColdUntil)
-      uncountRequest(Agent.Cold);
+      uncountRequest(Agent.ColdStartRate);
   }
-  const RunEnd Broken = m.Sent ? RunEnd::CutOff : RunEnd::NotBegun;
-  runEnded(Agent.Gate, m.Place, m.Whole ? RunEnd::Whole : Broken,
-           Now - One.Since);
+  const RunEnd Incomplete = m.Sent ? RunEnd::CutOff : RunEnd::NotBegun;
+  runEnded(Agent.Gate, m.Place, m.Whole ? RunEnd::Whole : Incomplete,
+           Now - One.GrantedAt);
   Agent.Counters.Completed += m.Whole ? 1 : 0;
-  runWaiting(Agent, Now, Out);
-  giveSparePlaces(Agent, Now, Out);
+  startWaitingWork(Agent, Now, Out);
+  grantSparePlaces(Agent, Now, Out);
 }
 
-bool agentRateAllows(AgentState &Agent, TimePoint Now) {
+bool isWithinRateLimits(AgentState &Agent, TimePoint Now) {
   return rateAllowsRequest(Agent.Rate, 1, Now) &&
          (Now >= Agent.ColdUntil ||
-          rateAllowsRequest(Agent.Cold, ColdPart, Now));
+          rateAllowsRequest(Agent.ColdStartRate, ColdRateShare, Now));
 }
 
-void countAtBackEnd(AgentState &Agent, TimePoint Now) {
+void countBackEndRequest(AgentState &Agent, TimePoint Now) {
   countRequest(Agent.Rate);
   if (Now < Agent.ColdUntil)
-    countRequest(Agent.Cold);
+    countRequest(Agent.ColdStartRate);
 }
 
-void placeRateHeard(AgentState &Agent, const RateHeard &m, TimePoint Now,
-                    Effects &Out) {
+void handleRateNotice(AgentState &Agent, const RateHeard &m, TimePoint Now,
+                      Effects &Out) {
   if (m.PerSecond) {
-    const TimePoint HeardAt = Now - millis(m.AgeMillis);
-    noteRateChange(Agent, rateNamed(Agent.Rate, *m.PerSecond, HeardAt), "entry",
-                   Out);
+    const TimePoint HeardAt = Now - toDuration(m.AgeMillis);
+    logRateChange(Agent, rateNamed(Agent.Rate, *m.PerSecond, HeardAt), "entry",
+                  Out);
     return;
   }
   const auto it = Agent.Places.find(m.Place);
-  if (it != Agent.Places.end() && it->second.Given)
-    noteRateChange(Agent, rateNotNamed(Agent.Rate, it->second.Since), "entry",
-                   Out);
+  if (it != Agent.Places.end() && it->second.Granted)
+    logRateChange(Agent, rateNotNamed(Agent.Rate, it->second.GrantedAt),
+                  "entry", Out);
 }
 
-void noteRateChange(const AgentState &Agent, RateChange Change,
-                    const char *From, Effects &Out) {
+void logRateChange(const AgentState &Agent, RateChange Change, const char *From,
+                   Effects &Out) {
   if (Change != RateChange::None)
     Out.push_back(LogNote{LogPart::Admission, LogLevel::Info,
                           "event=rate_limit from=" + std::string(From) +
@@ -339,34 +352,35 @@
 void detachPlaces(AgentState &Agent, LinkId Link, TimePoint Now, Effects &) {
   for (auto it = Agent.Places.begin(); it != Agent.Places.end();) {
     Place &One = it->second;
-    if (One.Link == Link && !One.Given) {
-      stopWaitingForPlace(Agent, it->first);
+    if (One.Link == Link && !One.Granted) {
+      dequeuePlace(Agent, it->first);
       it = Agent.Places.erase(it);
       continue;
     }
-    if (One.Link == Link && !One.LinkLost)
-      One.LinkLost = Now;
+    if (One.Link == Link && !One.LinkLostAt)
+      One.LinkLostAt = Now;
     ++it;
   }
 }
 
-void sweepPlaces(AgentState &Agent, TimePoint Now, Effects &Out) {
+void expirePlaces(AgentState &Agent, TimePoint Now, Effects &Out) {
   std::vector<AttemptId> Over;
   for (const auto &[Which, One] : Agent.Places) {
-    const bool Lost = One.LinkLost && Now - *One.LinkLost >= LostLinkKeep;
-    if (One.Given && (Lost || Now - One.Since >= ForgottenAfter))
+    const bool Lost =
+        One.LinkLostAt && Now - *One.LinkLostAt >= LostLinkTimeout;
+    if (One.Granted && (Lost || Now - One.GrantedAt >= MaxHeldTime))
       Over.push_back(Which);
   }
   for (const AttemptId &Which : Over)
-    placeDone(Agent, {Which, false, true}, Now, Out);
-  if (weightsTooOld(Agent, Now))
+    handlePlaceRelease(Agent, {Which, false, true}, Now, Out);
+  if (hasOutdatedWeights(Agent, Now))
     refuseWaiting(Agent, ErrorKind::WeightsNotReady, Out);
   std::vector<AttemptId> Late;
   for (const auto &[Which, One] : Agent.Places)
-    if (!One.Given && Now >= One.WaitUntil)
+    if (!One.Granted && Now >= One.WaitUntil)
       Late.push_back(Which);
   for (const AttemptId &Which : Late) {
-    stopWaitingForPlace(Agent, Which);
+    dequeuePlace(Agent, Which);
     refusePlace(Agent, Which,
                 {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
   }
--- a/packages/core/src/attempts/place_func.h
+++ b/packages/core/src/attempts/place_func.h
@@ -1,10 +1,12 @@
 /** @file place_func.h Places at a back end for requests that entries send.
  *
  * On a platform where entries send requests to back ends themselves, the agent
- * still bounds the load: each request asks it for a place first. Hundreds of
- * entries with lagging views cannot do that between them; without places some
- * back ends queue while others stand idle. The bytes of requests and answers go
- * past the agent, whose link is narrow and is needed for weights.
+ * still bounds the load. A place is its permission to have one request at the
+ * back end; an entry asks for one before it sends a request. Hundreds of
+ * entries with outdated views can't bound the load between them: without places
+ * some back ends have queues while others are idle. The bytes of requests and
+ * answers don't pass through the agent, since its network link is narrow and is
+ * needed for weights.
  */
 
 #ifndef JACINTHPOND_CORE_PLACE_FUNC_H
@@ -16,95 +18,98 @@
 namespace jacinthpond {
 
 /**
- * An entry asks for a place: it is given, waits, or is refused at once.
+ * Handles an entry's request for a place: grants it, queues it, or refuses it.
+ * A repeated request is ignored.
  * @param Agent State to change.
- * @param Link Who asks.
- * @param m What is asked.
+ * @param Link Link to the entry.
+ * @param m The request.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void takePlaceAsk(AgentState &Agent, LinkId Link, const PlaceAsk &m,
-                  TimePoint Now, Effects &Out);
+void handlePlaceRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+                        TimePoint Now, Effects &Out);
 
 /**
- * A request is over, or waits no more.
+ * Releases a place whose request has ended, or withdraws one that is queued,
+ * and starts queued work.
  * @param Agent State to change.
- * @param m Which, and how it ended.
+ * @param m The place and how its request ended.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void placeDone(AgentState &Agent, const PlaceDone &m, TimePoint Now,
-               Effects &Out);
+void handlePlaceRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
+                        Effects &Out);
 
 /**
- * Says whether the rates that the back end bears allow one more request: its
- * own limit, and that of its cold start.
+ * Says whether the back end's rate limits allow one more request: its own
+ * limit, and that of its cold start.
  * @param Agent State to change.
  * @param Now Current time.
- * @return True when one may be given to it.
+ * @return True when a request may be sent to it.
  */
-bool agentRateAllows(AgentState &Agent, TimePoint Now);
+bool isWithinRateLimits(AgentState &Agent, TimePoint Now);
 
 /**
- * Counts a request that is given to the back end.
+ * Counts a request to the back end against its rate limits.
  * @param Agent State to change.
  * @param Now Current time.
  */
-void countAtBackEnd(AgentState &Agent, TimePoint Now);
+void countBackEndRequest(AgentState &Agent, TimePoint Now);
 
 /**
- * An entry told what an answer said of the rate limit of the back end.
+ * Handles an entry's notice of the rate limit that the back end named in an
+ * answer, or no longer named.
  * @param Agent State to change.
- * @param m What it told.
+ * @param m The notice.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void placeRateHeard(AgentState &Agent, const RateHeard &m, TimePoint Now,
-                    Effects &Out);
+void handleRateNotice(AgentState &Agent, const RateHeard &m, TimePoint Now,
+                      Effects &Out);
 
 /**
- * Logs what became known of the rate limit of the back end.
+ * Logs a change of the back end's rate limit, if there is one.
  * @param Agent The state.
- * @param Change What became known.
- * @param From Who said it: "entry", "report" or "restart".
+ * @param Change What changed.
+ * @param From Source of the change: "entry", "report" or "restart".
  * @param Out Effects are appended.
  */
-void noteRateChange(const AgentState &Agent, RateChange Change,
-                    const char *From, Effects &Out);
+void logRateChange(const AgentState &Agent, RateChange Change, const char *From,
+                   Effects &Out);
 
 /**
- * Gives places to requests that are late in any case, as far as no request on
- * time is held up by them: in an overload those that come back would otherwise
- * make fresh ones late as well.
+ * Grants places to queued late requests while there is spare capacity, so that
+ * they delay no request that can still be on time. In an overload, retries
+ * would otherwise make fresh requests late as well.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void giveSparePlaces(AgentState &Agent, TimePoint Now, Effects &Out);
+void grantSparePlaces(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
- * Gives a place whose turn has come, or refuses it where its answer would be
- * late by now: the turn is of more use to the next one.
+ * Grants a place that is next in the queue, or refuses it if its answer would
+ * be late by now, so that the next one can be on time.
  * @param Agent State to change; the place counts as running already.
  * @param Which The place.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void givePlaceInTime(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-                     Effects &Out);
+void grantOrRefusePlace(AgentState &Agent, const AttemptId &Which,
+                        TimePoint Now, Effects &Out);
 
 /**
- * Gives a place.
+ * Grants a place and counts its request as sent to the back end.
  * @param Agent State to change; the place counts as running already.
  * @param Which The place.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void givePlace(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-               Effects &Out);
+void grantPlace(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+                Effects &Out);
 
 /**
- * Refuses one that waits and was taken out of the queue.
+ * Refuses a place that waited and has been removed from its queue.
  * @param Agent State to change.
  * @param Which The place.
  * @param Why The refusal.
@@ -114,22 +119,23 @@
                  Effects &Out);
 
 /**
- * The link of places is gone. Those given stay taken for a while, since their
- * requests may go on at the back end.
+ * Drops the queued places of a lost link. Granted ones are kept for a while,
+ * since their requests may still run at the back end.
  * @param Agent State to change.
- * @param Link Which link.
+ * @param Link The lost link.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
 void detachPlaces(AgentState &Agent, LinkId Link, TimePoint Now, Effects &Out);
 
 /**
- * Frees places that nobody will speak of any more.
+ * Releases granted places whose entry can no longer do so, and refuses queued
+ * ones that have waited too long or whose weights are outdated.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void sweepPlaces(AgentState &Agent, TimePoint Now, Effects &Out);
+void expirePlaces(AgentState &Agent, TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/tests/unit/attempt_recovery_test.cpp
+++ b/tests/unit/attempt_recovery_test.cpp
@@ -194,15 +194,15 @@
   for (size_t n = 0; n <= MaxEndedAttempts; ++n) {
     EndedAttempt One;
     One.Frames.emplace_back(size_t{2048}, 'x');
-    One.Forget = Now + EndedKeep + milliseconds(n);
+    One.ForgetAt = Now + EndedRetention + milliseconds(n);
     rememberEnded(Ended, AttemptId{std::to_string(n)}, std::move(One), Now);
   }
-  BOOST_TEST(Ended.Known.size() == MaxEndedAttempts);
+  BOOST_TEST(Ended.ById.size() == MaxEndedAttempts);
   BOOST_TEST(Ended.FrameBytes <= MaxEndedBytes);
-  BOOST_TEST(!endedIsComplete(Ended, Now));
-  BOOST_TEST(endedIsComplete(Ended, Now + EndedKeep));
-  expireEnded(Ended, Now + 2 * EndedKeep);
-  BOOST_TEST(Ended.Known.empty());
+  BOOST_TEST(!isEndedComplete(Ended, Now));
+  BOOST_TEST(isEndedComplete(Ended, Now + EndedRetention));
+  expireEnded(Ended, Now + 2 * EndedRetention);
+  BOOST_TEST(Ended.ById.empty());
   BOOST_TEST(Ended.FrameBytes == 0U);
 }
 
--- a/tests/unit/chunk_list_test.cpp
+++ b/tests/unit/chunk_list_test.cpp
@@ -48,7 +48,7 @@
     chunkPeerReady(Agent.Transfer, Far, HostName{"far"}, false);
   }
 
-  void follow() { followVersion(Agent, Named, Now, Out); }
+  void follow() { obtainChunkList(Agent, Named, Now, Out); }
 
   ChunkRef version() const {
     return {Named.Name, Named.Version, 0, {}, Named.Origin};
@@ -88,11 +88,11 @@
   OneAgent One(0);
   One.follow();
   BOOST_TEST(One.reads());
-  listRead(One.Agent, One.version(), {One.List, {}}, One.Now, One.Out);
+  handleListRead(One.Agent, One.version(), {One.List, {}}, One.Now, One.Out);
   BOOST_TEST(!One.wants()); // It may be damaged: once more.
   One.Out.clear();
-  BOOST_TEST(
-      listRead(One.Agent, One.version(), {One.List, {}}, One.Now, One.Out));
+  BOOST_TEST(handleListRead(One.Agent, One.version(), {One.List, {}}, One.Now,
+                            One.Out));
   BOOST_TEST(One.wants());
   BOOST_TEST((One.told() == std::vector<LinkId>{Near}));
 }
@@ -102,18 +102,18 @@
   One.follow();
   BOOST_TEST(!One.reads());
   const ChunkListTold Told{{"m"}, "2", 100, One.List.Chunks};
-  BOOST_TEST(!listTold(One.Agent, LinkId{9}, Told, One.Now, One.Out));
-  BOOST_TEST(listTold(One.Agent, Near, Told, One.Now, One.Out));
+  BOOST_TEST(!handleListNotice(One.Agent, LinkId{9}, Told, One.Now, One.Out));
+  BOOST_TEST(handleListNotice(One.Agent, Near, Told, One.Now, One.Out));
   BOOST_TEST(One.wants());
   BOOST_TEST((One.Agent.Weights.Wanted.Chunks == One.List.Chunks));
-  readList(One.Agent, One.Now + Millis(1000), One.Out);
+  requestMissingList(One.Agent, One.Now + Millis(1000), One.Out);
   BOOST_TEST(!One.reads());
 }
 
 BOOST_AUTO_TEST_CASE(AListThatComesBeforeTheDocumentIsKept) {
   OneAgent One(2);
   const ChunkListTold Told{{"m"}, "2", 100, One.List.Chunks};
-  BOOST_TEST(!listTold(One.Agent, Near, Told, One.Now, One.Out));
+  BOOST_TEST(!handleListNotice(One.Agent, Near, Told, One.Now, One.Out));
   One.follow();
   BOOST_TEST(One.wants());
   BOOST_TEST(!One.reads());
@@ -122,8 +122,8 @@
 BOOST_AUTO_TEST_CASE(WhoIsNotToldReadsTheListItself) {
   OneAgent One(2);
   One.follow();
-  readList(One.Agent, One.Now + Millis(399), One.Out);
+  requestMissingList(One.Agent, One.Now + Millis(399), One.Out);
   BOOST_TEST(!One.reads());
-  readList(One.Agent, One.Now + Millis(400), One.Out);
+  requestMissingList(One.Agent, One.Now + Millis(400), One.Out);
   BOOST_TEST(One.reads());
 }
--- a/tests/unit/place_test.cpp
+++ b/tests/unit/place_test.cpp
@@ -56,13 +56,13 @@
     m.PromptTokens = Prompt;
     m.MostReadingMillis = MostReading;
     m.Spare = Spare;
-    takePlaceAsk(Agent, Link, m, Now, Out);
+    handlePlaceRequest(Agent, Link, m, Now, Out);
     return answered(Id);
   }
 
   void done(const std::string &Id, bool Whole = true, bool Sent = true) {
     Out.clear();
-    placeDone(Agent, {{Id}, Whole, Sent}, Now, Out);
+    handlePlaceRelease(Agent, {{Id}, Whole, Sent}, Now, Out);
   }
 
   /** The answer about a place in the last effects. */
@@ -117,7 +117,7 @@
   One.ask("c", Millis(200));
   One.Now += Millis(201);
   One.Out.clear();
-  sweepPlaces(One.Agent, One.Now, One.Out);
+  expirePlaces(One.Agent, One.Now, One.Out);
   BOOST_REQUIRE(One.answered("c").has_value());
   BOOST_TEST(!One.given("c"));
   One.done("a");
@@ -168,10 +168,10 @@
   One.ask("c", Millis(5000), 0, 1, EntryB);
   One.Now += Millis(1900);
   One.Out.clear();
-  sweepPlaces(One.Agent, One.Now, One.Out);
+  expirePlaces(One.Agent, One.Now, One.Out);
   BOOST_TEST(!One.given("c"));
   One.Now += Millis(200);
-  sweepPlaces(One.Agent, One.Now, One.Out);
+  expirePlaces(One.Agent, One.Now, One.Out);
   // The worker may be at the runs still, until its report says less.
   EngineState Idle;
   Idle.Run = "run 1";
@@ -255,9 +255,9 @@
   BOOST_TEST(!One.ask("late", Millis(1000), 0, 1, EntryA, 0, true).has_value());
   One.Now += Millis(1000);
   One.Out.clear();
-  sweepPlaces(One.Agent, One.Now, One.Out);
+  expirePlaces(One.Agent, One.Now, One.Out);
   BOOST_TEST(!One.answered("late")->Given);
-  BOOST_TEST(One.Agent.SparePlaces.empty());
+  BOOST_TEST(One.Agent.SpareQueue.empty());
   BOOST_TEST(One.Agent.Places.size() == 2U);
 }
 
@@ -299,7 +299,7 @@
   One.ask("b", Millis(500));
   BOOST_TEST(!One.ask("c", Millis(500)).has_value());
   One.Now += Millis(100);
-  sweepPlaces(One.Agent, One.Now, One.Out);
+  expirePlaces(One.Agent, One.Now, One.Out);
   const auto Answer = One.answered("c");
   BOOST_REQUIRE(Answer);
   BOOST_CHECK(Answer->Why == ErrorKind::WeightsNotReady);
@@ -328,13 +328,13 @@
   One.ask("b", Millis(500));
   One.Out.clear();
   // 220 ms beside 150 ms of its own prompt leave no time for a wait.
-  takePlaceAsk(One.Agent, EntryA, wantedWithin("long", Millis(380), 1500),
-               One.Now, One.Out);
+  handlePlaceRequest(One.Agent, EntryA, wantedWithin("long", Millis(380), 1500),
+                     One.Now, One.Out);
   BOOST_REQUIRE(One.answered("long"));
   BOOST_TEST(!One.given("long"));
   One.Out.clear();
-  takePlaceAsk(One.Agent, EntryA, wantedWithin("short", Millis(380), 100),
-               One.Now, One.Out);
+  handlePlaceRequest(One.Agent, EntryA, wantedWithin("short", Millis(380), 100),
+                     One.Now, One.Out);
   BOOST_TEST(!One.answered("short")); // Waits for 150 ms.
   One.done("a");
   BOOST_TEST(One.given("short"));
@@ -346,8 +346,8 @@
     firstPartSeen(One.Agent.FirstPart, Millis(220), Millis(0));
   One.ask("a", Millis(500));
   One.ask("b", Millis(500));
-  takePlaceAsk(One.Agent, EntryA, wantedWithin("c", Millis(380), 0), One.Now,
-               One.Out);
+  handlePlaceRequest(One.Agent, EntryA, wantedWithin("c", Millis(380), 0),
+                     One.Now, One.Out);
   One.Now += Millis(170); // 220 ms later it would be late.
   One.done("a");
   BOOST_REQUIRE(One.answered("c"));
@@ -361,8 +361,8 @@
   OneAgent One;
   for (int n = 0; n < 50; ++n)
     firstPartSeen(One.Agent.FirstPart, Millis(900), Millis(0));
-  takePlaceAsk(One.Agent, EntryA, wantedWithin("a", Millis(380), 0), One.Now,
-               One.Out);
+  handlePlaceRequest(One.Agent, EntryA, wantedWithin("a", Millis(380), 0),
+                     One.Now, One.Out);
   BOOST_TEST(One.given("a"));
 }
 
@@ -378,7 +378,7 @@
   };
   BOOST_TEST(!AskLate("late 1").has_value()); // There was room just now.
   One.Now += Millis(1001);
-  sweepPlaces(One.Agent, One.Now, One.Out);
+  expirePlaces(One.Agent, One.Now, One.Out);
   const auto Refused = AskLate("late 2");
   BOOST_REQUIRE(Refused);
   BOOST_TEST(!Refused->Given);
@@ -438,7 +438,7 @@
   OneAgent One;
   One.limit(16);
   const TimePoint Begin = One.Now;
-  placeRateHeard(One.Agent, {{}, {}, 2.7, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{}, {}, 2.7, 0}, One.Now, One.Out);
   uint32_t Given = 0;
   for (int n = 0; One.Now < Begin + Millis(4000); ++n, One.Now += Millis(20)) {
     const std::string Id = std::to_string(n);
@@ -460,7 +460,7 @@
 BOOST_AUTO_TEST_CASE(PlacesKeepTheRateOfAColdBackEnd) {
   OneAgent One;
   One.limit(16);
-  One.Agent.Cold.PerSecond = 8;
+  One.Agent.ColdStartRate.PerSecond = 8;
   One.Agent.ColdUntil = One.Now + Millis(3000);
   const auto GivenInASecond = [&] {
     const TimePoint End = One.Now + Millis(1000);
@@ -486,7 +486,7 @@
   OneAgent One;
   for (const char *Id : {"a", "b", "c", "d"})
     One.ask(Id, Millis(900));
-  placeRateHeard(One.Agent, {{}, {}, 0.3, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{}, {}, 0.3, 0}, One.Now, One.Out);
   One.done("a");
   BOOST_TEST(One.given("c"));
   One.done("b");
@@ -496,7 +496,7 @@
 // Guards against tokens that are lost with requests that were never sent.
 BOOST_AUTO_TEST_CASE(APlaceThatWasNotUsedCostsNothingOfTheRate) {
   OneAgent One;
-  placeRateHeard(One.Agent, {{}, {}, 0.3, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{}, {}, 0.3, 0}, One.Now, One.Out);
   BOOST_TEST(One.ask("a", Millis(500))->Given);
   One.done("a", false, false);
   BOOST_TEST(One.ask("b", Millis(500))->Given);
@@ -510,14 +510,14 @@
   OneAgent One;
   BOOST_TEST(One.ask("early", Millis(500))->Given);
   One.Now += Millis(100);
-  placeRateHeard(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
   One.Now += Millis(900);
   BOOST_TEST(One.ask("late", Millis(500))->Given);
-  placeRateHeard(One.Agent, {{"early"}, {}, {}, 1000}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{"early"}, {}, {}, 1000}, One.Now, One.Out);
   BOOST_TEST(One.Agent.Rate.PerSecond.has_value());
-  placeRateHeard(One.Agent, {{"unknown"}, {}, {}, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{"unknown"}, {}, {}, 0}, One.Now, One.Out);
   BOOST_TEST(One.Agent.Rate.PerSecond.has_value());
-  placeRateHeard(One.Agent, {{"late"}, {}, {}, 10}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{"late"}, {}, {}, 10}, One.Now, One.Out);
   BOOST_TEST(!One.Agent.Rate.PerSecond.has_value());
 }
 
@@ -532,7 +532,7 @@
     engineStateRead(One.Agent, {State, {}}, 0, One.Now, One.Out);
   };
   Report("run 1");
-  placeRateHeard(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
   engineStateRead(One.Agent, {std::nullopt, {ErrorKind::Unreachable, "", {}}},
                   0, One.Now, One.Out);
   Report("run 1");
@@ -554,7 +554,7 @@
     return One.Agent.Rate.PerSecond;
   };
   Report({});
-  placeRateHeard(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
+  handleRateNotice(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
   BOOST_TEST(Report({}).has_value()); // Reports name none at all.
   BOOST_TEST(Report(1.8).has_value());
   BOOST_TEST(!Report({}).has_value());
