--- a/packages/core/src/attempts/agent.cpp
+++ b/packages/core/src/attempts/agent.cpp
@@ -118,13 +118,14 @@
   else
     Agent.ColdStartRate.PerSecond.reset();
   Agent.ListedServer = *it;
-  const uint32_t Limit = it->Slots + SlotsAhead;
+  const uint32_t SlotLimit = it->Slots + SlotsAhead;
   // Compares both, since one limit from the settings may have this value too.
-  if (Agent.Gate.Limits.Warm == Limit && Agent.Gate.Limits.Cold == Limit)
+  if (Agent.Gate.Limits.Warm == SlotLimit &&
+      Agent.Gate.Limits.Cold == SlotLimit)
     return;
   // A listed server's cold start is bounded by a rate, not by concurrency.
-  Agent.Gate.Limits.Warm = Agent.Gate.Limits.Cold = Limit;
-  Agent.Gate.Limit = Limit;
+  Agent.Gate.Limits.Warm = Agent.Gate.Limits.Cold = SlotLimit;
+  Agent.Gate.Limit = SlotLimit;
 }
 
 /** Applies a new document: the version that this worker has to load, the peers
@@ -491,13 +492,13 @@
                   TimePoint Now, Effects &Out) {
   if (!linkHeard(Agent.Fleet, Link, Now))
     return;
-  auto Bytes = partFromPeer(Agent.Transfer, Link, Data, Now, Out);
-  if (!Bytes)
+  auto Joined = partFromPeer(Agent.Transfer, Link, Data, Now, Out);
+  if (!Joined)
     return;
-  ChunkBytes Chunk;
-  if (!Bytes->empty())
-    Chunk = std::make_shared<const std::string>(std::move(*Bytes));
-  peerSentChunk(Agent, Link, Data.Chunk, checkChunk(std::move(Chunk)), Now,
+  ChunkBytes Bytes;
+  if (!Joined->empty())
+    Bytes = std::make_shared<const std::string>(std::move(*Joined));
+  peerSentChunk(Agent, Link, Data.Chunk, checkChunk(std::move(Bytes)), Now,
                 Out);
 }
 
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -44,7 +44,8 @@
   std::optional<Failure> BreakFailure; ///< Set while it is undecided whether
                                        ///< the back end died with this run.
   uint32_t ReportsSinceBreak = 0; ///< Back end reports read since it broke off.
-  std::string DeathId; ///< Id of the death reported to peers; empty: none.
+  std::string
+      ReportedDeath; ///< Id of the death reported to peers; empty: none.
 };
 
 /**
@@ -52,12 +53,12 @@
  * end. It counts against the concurrency limit while it is held.
  */
 struct Place {
-  LinkId Link;           ///< Link of the entry that asked.
-  PlaceAsk Request;      ///< The entry's request for this place.
-  TimePoint RequestedAt; ///< When it was requested.
-  TimePoint GrantedAt;   ///< When it was granted; until then, when requested.
-  TimePoint WaitUntil;   ///< Time limit for granting it.
-  bool Granted = false;  ///< The request may be at the back end.
+  LinkId Link;             ///< Link of the entry that asked.
+  PlaceAsk RequestMessage; ///< The entry's request for this place.
+  TimePoint RequestedAt;   ///< When it was requested.
+  TimePoint GrantedAt;     ///< When it was granted; until then, when requested.
+  TimePoint WaitUntil;     ///< Time limit for granting it.
+  bool Granted = false;    ///< The request may be at the back end.
   Duration ReadingAtGrant{0}; ///< Time to read all prompts, at the grant.
   std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
 };
--- a/packages/core/src/attempts/attempt.cpp
+++ b/packages/core/src/attempts/attempt.cpp
@@ -234,10 +234,10 @@
                 Ran::No, Out);
     return;
   }
-  Admittee Request = admissionRequestOf(Agent, m);
-  Request.Alone = Request.Alone || Suspected == Suspicion::RunAlone;
+  Admittee Candidate = admissionRequestOf(Agent, m);
+  Candidate.Alone = Candidate.Alone || Suspected == Suspicion::RunAlone;
   const AdmissionAnswer Answer =
-      askToRun(Agent.Gate, Request,
+      askToRun(Agent.Gate, Candidate,
                !isMostlyStalled(Agent, Now) && isWithinRateLimits(Agent, Now));
   if (Answer.PushedOut)
     refuseEvicted(Agent, *Answer.PushedOut, Out);
@@ -443,9 +443,9 @@
                 Out);
     return;
   }
-  Admittee Request = admissionRequestOf(Agent, One.Asked);
-  Request.Alone = true;
-  const AdmissionAnswer Answer = askToRun(Agent.Gate, Request);
+  Admittee Candidate = admissionRequestOf(Agent, One.Asked);
+  Candidate.Alone = true;
+  const AdmissionAnswer Answer = askToRun(Agent.Gate, Candidate);
   if (Answer.May == Admitted::Refuse)
     failAttempt(Agent, Which,
                 {ErrorKind::Overloaded, "queue full", Answer.RetryAfter},
--- a/packages/core/src/attempts/back_end_death.cpp
+++ b/packages/core/src/attempts/back_end_death.cpp
@@ -51,12 +51,12 @@
 /** Tells all peers that a request may have made the back end die. */
 void reportSuspect(AgentState &Agent, Attempt &One, TimePoint Now,
                    Effects &Out) {
-  if (One.DeathId.empty())
-    One.DeathId = Agent.Fleet.Self.Name.Value + "/" + Agent.BackEndRun + "/" +
-                  std::to_string(Agent.WithdrawnDeaths);
+  if (One.ReportedDeath.empty())
+    One.ReportedDeath = Agent.Fleet.Self.Name.Value + "/" + Agent.BackEndRun +
+                        "/" + std::to_string(Agent.WithdrawnDeaths);
   SuspectNotice Notice;
   Notice.Fingerprint = fingerprintOf(One.Asked);
-  Notice.DeathId = One.DeathId;
+  Notice.DeathId = One.ReportedDeath;
   Notice.Alone = One.RanAlone;
   if (noteSuspect(Agent.Suspects, Notice, Now))
     spreadNotice(Agent.Fleet, Notice, {}, Out);
@@ -66,12 +66,12 @@
  * is alive. */
 void withdrawSuspect(AgentState &Agent, const Attempt &One, TimePoint Now,
                      Effects &Out) {
-  if (One.DeathId.empty())
+  if (One.ReportedDeath.empty())
     return;
   // Gives a later death of the same incarnation a new id.
   ++Agent.WithdrawnDeaths;
-  const SuspectNotice Notice{fingerprintOf(One.Asked), One.DeathId, 0, false,
-                             true};
+  const SuspectNotice Notice{fingerprintOf(One.Asked), One.ReportedDeath, 0,
+                             false, true};
   if (noteSuspect(Agent.Suspects, Notice, Now))
     spreadNotice(Agent.Fleet, Notice, {}, Out);
 }
@@ -115,7 +115,7 @@
       reportSuspect(Agent, One, Now, Out);
     } else if (Run == Agent.BackEndRun) {
       withdrawSuspect(Agent, One, Now, Out);
-      One.DeathId.clear();
+      One.ReportedDeath.clear();
     }
   }
 }
--- a/packages/core/src/attempts/place.cpp
+++ b/packages/core/src/attempts/place.cpp
@@ -134,7 +134,7 @@
               Duration MayWait, TimePoint Now) {
   Place One;
   One.Link = Link;
-  One.Request = m;
+  One.RequestMessage = m;
   One.RequestedAt = One.GrantedAt = Now;
   One.WaitUntil = Now + MayWait;
   Agent.Places[m.Place] = One;
@@ -197,8 +197,8 @@
                         TimePoint Now, Effects &Out) {
   if (Agent.Places.contains(m.Place))
     return; // A repeat; the first answer counts.
-  if (const auto Refusal = refusalReason(Agent, Now)) {
-    refuseRequest(Agent, Link, m, *Refusal, Millis{0}, Now, Out);
+  if (const auto Reason = refusalReason(Agent, Now)) {
+    refuseRequest(Agent, Link, m, *Reason, Millis{0}, Now, Out);
     return;
   }
   if (!isWithinRateLimits(Agent, Now)) {
@@ -268,11 +268,11 @@
   One.Granted = true;
   One.GrantedAt = Now;
   countBackEndRequest(Agent, Now);
-  addReading(Agent.Reading, One.Request.PromptTokens, Now);
+  addReading(Agent.Reading, One.RequestMessage.PromptTokens, Now);
   One.ReadingAtGrant = readingLeft(Agent.Reading, Now);
   ++Agent.Counters.Started;
-  sendPlaceAnswer(Agent, One.Link, One.Request, nullptr, Now - One.RequestedAt,
-                  Now, Out);
+  sendPlaceAnswer(Agent, One.Link, One.RequestMessage, nullptr,
+                  Now - One.RequestedAt, Now, Out);
 }
 
 void refusePlace(AgentState &Agent, const AttemptId &Which, const Failure &Why,
@@ -283,8 +283,8 @@
     return;
   ++Agent.Counters.Refused[Why.Kind];
   const Place &One = it->second;
-  sendPlaceAnswer(Agent, One.Link, One.Request, &Why, Now - One.RequestedAt,
-                  Now, Out);
+  sendPlaceAnswer(Agent, One.Link, One.RequestMessage, &Why,
+                  Now - One.RequestedAt, Now, Out);
   Agent.Places.erase(it);
 }
 
--- a/tests/unit/attempt_recovery_test.cpp
+++ b/tests/unit/attempt_recovery_test.cpp
@@ -1,4 +1,5 @@
-/** @file attempt_recovery_test.cpp Attempts through lost links and agents. */
+/** @file attempt_recovery_test.cpp Tests of attempts when links, agents or back
+ * ends fail. */
 // Labels: promise-4 promise-5
 
 #include "attempts/ended_attempts_func.h"
@@ -13,31 +14,35 @@
 
 namespace {
 
-/** What an engine does with the attempt that it got last. */
-struct Engine {
+/** Drives the engine's side of the attempt that was sent to an engine last. */
+struct RunDriver {
   Mesh &All;
   std::string Agent = All.Runs.back().first;
   AttemptId Which = All.Runs.back().second.Attempt;
 
+  /** Reports that the engine has begun the attempt. */
   void begin() const {
     Effects Out;
     AgentState &At = All.Agents.at(Agent);
     engineBegan(At, Which, At.Weights.Loaded, Out);
-    finish(Out);
+    deliverEffects(Out);
   }
+  /** Delivers a token of the answer to the agent. */
   void token(const std::string &Text) const {
     Effects Out;
     engineToken(All.Agents.at(Agent), Which, Text, All.Now, Out);
-    finish(Out);
+    deliverEffects(Out);
   }
+  /** Ends the answer; Count is the number of tokens that the engine reports. */
   void end(uint64_t Count) const {
     Effects Out;
     AgentState &At = All.Agents.at(Agent);
     engineEnded(At, Which, {EngineEnd{Count, At.Weights.Loaded}, {}}, All.Now,
                 Out);
-    finish(Out);
+    deliverEffects(Out);
   }
-  void finish(const Effects &Out) const {
+  /** Performs the agent's effects and delivers the resulting messages. */
+  void deliverEffects(const Effects &Out) const {
     All.perform(Agent, Out);
     All.pump();
   }
@@ -45,21 +50,21 @@
 
 } // namespace
 
-// A caller's stream stops in the middle because something between entry and
-// agent lost track of their connection. New connections work. The engine goes
-// on and finishes. The caller must get the rest, and nothing may run twice.
-BOOST_AUTO_TEST_CASE(SilentLinkInMidStreamLosesNothing) {
+// A network device between entry and agent drops the state of their connection
+// in the middle of a stream; new connections work. The engine finishes the
+// answer. The caller must get the rest, and nothing may run twice.
+BOOST_AUTO_TEST_CASE(SilentLinkInMidStreamLosesNoFrames) {
   for (const int Before : {0, 1, 2, 3}) {
     Mesh All(1, 2, 0);
     const uint64_t Call = All.ask("e0", "reports");
-    const Engine Host{All};
-    auto &Wire = All.wire("e0", Host.Agent);
+    const RunDriver Driver{All};
+    auto &Wire = All.wire("e0", Driver.Agent);
     for (int n = 0; n < 4; ++n) {
       Wire.Held = n >= Before;
-      n == 0 ? Host.begin() : Host.token(std::to_string(n));
+      n == 0 ? Driver.begin() : Driver.token(std::to_string(n));
     }
     Wire.Held = true;
-    Host.end(3);
+    Driver.end(3);
     All.pass(milliseconds(4500));
     BOOST_TEST(All.Finals[Call].Whole);
     BOOST_TEST(All.Finals[Call].Text == "123");
@@ -68,10 +73,10 @@
   }
 }
 
-// A start is lost with its link. The agent is asked, says that it never saw
-// it, and the entry tries elsewhere. Then the start arrives after all: it must
-// not run, for the entry was told that it never will.
-BOOST_AUTO_TEST_CASE(StartThatComesAfterItWasAskedForDoesNotRun) {
+// An AttemptStart is lost with its link. The agent answers a query that it has
+// never seen the attempt, and the entry retries elsewhere. If the AttemptStart
+// arrives after all, it must not run, as the entry relies on that answer.
+BOOST_AUTO_TEST_CASE(StartThatArrivesAfterAQueryDoesNotRun) {
   Mesh All(1, 2, 0);
   All.wire("e0", "m0").Held = All.wire("e0", "m1").Held = true;
   const uint64_t Call = All.ask("e0", "reports");
@@ -91,14 +96,14 @@
   All.pass(milliseconds(200));
   BOOST_TEST(All.Runs.size() == 1U);
   BOOST_TEST(All.Agents[Worker.Value].Counters.RepeatedStarts == 1U);
-  Engine{All}.begin();
-  Engine{All}.token("a");
-  Engine{All}.end(1);
+  RunDriver{All}.begin();
+  RunDriver{All}.token("a");
+  RunDriver{All}.end(1);
   BOOST_TEST(All.Finals[Call].Text == "a");
 }
 
-// A network device repeats a start. The first one is waiting, running, ended
-// or refused when the second one comes: one run, one answer.
+// A network device repeats an AttemptStart while the first one is running or
+// has ended. There must be one run and one answer.
 BOOST_AUTO_TEST_CASE(RepeatedStartRunsOnce) {
   for (const bool AfterEnd : {false, true}) {
     Mesh All(1, 0, 1);
@@ -116,10 +121,11 @@
   }
 }
 
-// Frames of an answer come late, crossed, twice or not at all. The caller gets
-// the whole answer or an error; a short one never looks whole.
-BOOST_AUTO_TEST_CASE(DisturbedFramesNeverMakeAShortAnswer) {
-  // Frames 0..3, "b" begin and "e" end, in the order in which they arrive.
+// Frames of an answer arrive late, reordered, twice or not at all. The caller
+// must get the complete answer or an error, never a truncated answer.
+BOOST_AUTO_TEST_CASE(DisturbedFramesNeverTruncateAnAnswer) {
+  // Order of arrival: frames 0 to 3, "b" AttemptBegun, "e" AnswerEnd, "x" an
+  // AnswerEnd with a wrong digest.
   const std::vector<std::pair<std::string, bool>> Orders = {
       {"b0123e", true},   {"b00112233e", true}, {"bb0123ee", true},
       {"b0123e3", true},  {"b1023e", false},    {"b023e", false},
@@ -151,13 +157,14 @@
   }
 }
 
-// Frames of another attempt arrive at a call: they are dropped.
-BOOST_AUTO_TEST_CASE(CrossedAnswersStayApart) {
+// Frames of two attempts arrive interleaved over one link. Each call must get
+// its own answer.
+BOOST_AUTO_TEST_CASE(InterleavedAnswersStayApart) {
   Mesh All(1, 1, 0);
   const uint64_t First = All.ask("e0", "reports", "", "", "1");
-  const Engine A{All};
+  const RunDriver A{All};
   const uint64_t Second = All.ask("e0", "reports", "", "", "2");
-  const Engine B{All};
+  const RunDriver B{All};
   A.begin();
   B.begin();
   B.token("b");
@@ -168,10 +175,10 @@
   BOOST_TEST(All.Finals[Second].Text == "b");
 }
 
-// The agent that runs a request dies. A repeatable one runs elsewhere; when
-// that worker refuses it as not run, the caller must not be told "not run",
-// since the first one may have run it.
-BOOST_AUTO_TEST_CASE(RefusalAfterALostAttemptIsNotNotRun) {
+// The agent that runs a repeatable request dies, and the retry at another
+// worker is refused as not run. The caller must not be told "not run", since
+// the first worker may have run the request.
+BOOST_AUTO_TEST_CASE(RefusalAfterALostAttemptDoesNotMeanNotRun) {
   Mesh All(1, 0, 2);
   All.SlowServices = {"s0", "s1"};
   const uint64_t Call = All.ask("e0", "status");
@@ -186,9 +193,10 @@
   BOOST_TEST((All.Finals[Call].Executed == Ran::Unknown));
 }
 
-// More attempts end than an agent remembers. It must not say "never seen" of
-// one that it forgot, for the entry would tell the caller "not run".
-BOOST_AUTO_TEST_CASE(ForgottenAttemptsAreNotVouchedFor) {
+// More attempts end than an agent keeps a record of. It must not report one
+// that it removed as never seen, since the entry would tell the caller "not
+// run".
+BOOST_AUTO_TEST_CASE(ForgottenAttemptsAreNotReportedAsNeverSeen) {
   EndedAttempts Ended;
   const TimePoint Now{std::chrono::hours(1)};
   for (size_t n = 0; n <= MaxEndedAttempts; ++n) {
@@ -206,68 +214,68 @@
   BOOST_TEST(Ended.FrameBytes == 0U);
 }
 
-// An engine turns cold in the middle of its work. The agent gets little
-// processor time, so that the tick which would notice it comes late; meanwhile
-// each answer that ends lets another request begin, and keeps the engine cold.
-BOOST_AUTO_TEST_CASE(NothingBeginsWhileMostAnswersStall) {
+// An engine turns cold while it runs requests. The agent gets little processor
+// time, so that the tick that would detect it comes late. In the meantime each
+// ended answer let another request start, which kept the engine cold.
+BOOST_AUTO_TEST_CASE(NoRequestStartsWhileMostAnswersStall) {
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits.Warm = Agent.Gate.Limit = 8;
   Agent.Gate.Pace.Warm = milliseconds(10);
   for (int n = 0; n < 2; ++n) {
     All.ask("e0", "reports");
-    const Engine Host{All};
-    Host.begin();
-    Host.token("a");
+    const RunDriver Driver{All};
+    Driver.begin();
+    Driver.token("a");
   }
   BOOST_TEST(All.Runs.size() == 2U);
   All.Now += milliseconds(60);
   All.ask("e0", "reports");
   BOOST_TEST(All.Runs.size() == 2U);
-  const Engine Last{All};
+  const RunDriver Last{All};
   Last.token("b");
   Last.end(2);
   All.pass(milliseconds(300));
   BOOST_TEST(All.Runs.size() == 3U);
 }
 
-// An engine turns cold and says nothing of it. Answers whose last token was
-// already under way end in time, and others take their places: nothing is late
-// yet. From the moment on at which most answers are silent for longer than a
-// warm engine's tokens take, nothing more begins.
-BOOST_AUTO_TEST_CASE(UntilATokenIsLateEndedAnswersAreReplaced) {
+// An engine turns cold without reporting it. Answers whose last token was
+// already under way end on time, and queued requests may start, since no token
+// is late yet. Once most answers are without a token for longer than the usual
+// gaps of a warm engine, no request may start.
+BOOST_AUTO_TEST_CASE(RequestsStartUntilTokensAreLate) {
   constexpr size_t Running = 16;
   constexpr size_t Waiting = 8;
-  constexpr size_t InTime = 6;
+  constexpr size_t OnTime = 6;
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits.Warm = Agent.Gate.Limit = Running;
   Agent.Gate.Pace.Warm = milliseconds(10);
-  std::vector<Engine> Hosts;
+  std::vector<RunDriver> Drivers;
   for (size_t n = 0; n < Running; ++n) {
     All.ask("e0", "reports", "", "", std::to_string(n));
-    Hosts.push_back(Engine{All});
-    Hosts.back().begin();
-    Hosts.back().token("a");
+    Drivers.push_back(RunDriver{All});
+    Drivers.back().begin();
+    Drivers.back().token("a");
   }
   for (size_t n = 0; n < Waiting; ++n)
     All.ask("e0", "reports", "", "", "w" + std::to_string(n));
   BOOST_REQUIRE(All.Runs.size() == Running);
   All.Now += milliseconds(12);
-  for (size_t n = 0; n < InTime; ++n)
-    Hosts[n].end(1);
-  BOOST_TEST(All.Runs.size() == Running + InTime);
+  for (size_t n = 0; n < OnTime; ++n)
+    Drivers[n].end(1);
+  BOOST_TEST(All.Runs.size() == Running + OnTime);
   All.Now += milliseconds(29);
-  for (size_t n = InTime; n < InTime + 2; ++n)
-    Hosts[n].end(1);
-  BOOST_TEST(All.Runs.size() == Running + InTime);
+  for (size_t n = OnTime; n < OnTime + 2; ++n)
+    Drivers[n].end(1);
+  BOOST_TEST(All.Runs.size() == Running + OnTime);
 }
 
-// A cold engine completed enough for a try whether it bears twice as much. It
-// does not, and each token takes ten times as long. One answer of before is at
-// its last token and ends so late that the try shows in nothing else yet;
-// another takes its place. From the first late tokens on nothing begins.
-BOOST_AUTO_TEST_CASE(ATryOfALargerLimitEndsWithTheFirstLateTokens) {
+// A cold engine has completed enough requests for a trial of twice the limit,
+// but then each token takes ten times as long. An older answer ends before any
+// other token is late, so that one more request starts. After the first late
+// tokens no request may start.
+BOOST_AUTO_TEST_CASE(LateTokensEndTheTrialOfALargerLimit) {
   constexpr uint32_t Cold = 2;
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
@@ -278,22 +286,22 @@
     All.ask("e0", "reports", "", "", std::to_string(n++));
   };
   Ask();
-  const Engine Older{All};
+  const RunDriver Older{All};
   Older.begin();
   Older.token("a");
   for (uint32_t n = 0; n < Agent.Gate.Limits.WarmAfter; ++n) {
     Ask();
-    const Engine Host{All};
-    Host.begin();
-    Host.token("a");
-    Host.end(1);
+    const RunDriver Driver{All};
+    Driver.begin();
+    Driver.token("a");
+    Driver.end(1);
   }
   BOOST_REQUIRE(Agent.Gate.Limit == 2 * Cold);
-  std::vector<Engine> Tried;
+  std::vector<RunDriver> Trial;
   for (uint32_t n = 1; n < 2 * Cold; ++n) {
     Ask();
-    Tried.push_back(Engine{All});
-    Tried.back().begin();
+    Trial.push_back(RunDriver{All});
+    Trial.back().begin();
   }
   for (uint32_t n = 0; n < Cold; ++n)
     Ask();
@@ -302,58 +310,58 @@
   Older.token("b");
   Older.end(2);
   BOOST_TEST(All.Runs.size() == Before + 1);
-  for (const Engine &One : Tried)
+  for (const RunDriver &One : Trial)
     One.token("a");
   All.Now += milliseconds(41);
-  Tried.front().end(1);
+  Trial.front().end(1);
   BOOST_TEST(All.Runs.size() == Before + 1);
 }
 
-// An engine turns cold between two looks at it, and its first slow tokens come
-// just before the second look. By then most answers have a fresh token and look
-// well again, and until enough gaps are seen each answer that ends lets another
-// request begin.
-BOOST_AUTO_TEST_CASE(TheFirstSlowTokenShowsThatTheOthersAreSilent) {
+// An engine turns cold between two ticks, and its first slow tokens arrive just
+// before the second one. At that tick most answers have a recent token and are
+// not stalled. Until enough gaps were seen, each ended answer let another
+// request start.
+BOOST_AUTO_TEST_CASE(FirstSlowTokenLowersTheLimitAtOnce) {
   constexpr size_t Running = 16;
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits = {Running, 2, 32, 8};
   Agent.Gate.Limit = Running;
   Agent.Gate.Pace.Warm = milliseconds(10);
-  std::vector<Engine> Hosts;
+  std::vector<RunDriver> Drivers;
   for (size_t n = 0; n < Running; ++n) {
     All.ask("e0", "reports", "", "", std::to_string(n));
-    Hosts.push_back(Engine{All});
-    Hosts.back().begin();
-    Hosts.back().token("a");
+    Drivers.push_back(RunDriver{All});
+    Drivers.back().begin();
+    Drivers.back().token("a");
   }
   All.ask("e0", "reports", "", "", "waits");
   BOOST_REQUIRE(All.Runs.size() == Running);
   All.Now += milliseconds(100);
-  for (const Engine &One : Hosts)
+  for (const RunDriver &One : Drivers)
     One.token("b");
-  Hosts.front().end(2);
+  Drivers.front().end(2);
   BOOST_TEST(All.Runs.size() == Running);
   BOOST_TEST(Agent.Gate.Limit == 2U);
 }
 
-// The agent itself got no time for a while. All tokens come late then, though
-// the engine made them in time, and its limit must not fall.
-BOOST_AUTO_TEST_CASE(AfterAPauseOfTheAgentSlowTokensShowNothing) {
+// The agent itself got no processor time for a while. All tokens then arrive
+// late although the engine produced them on time, and the limit must not fall.
+BOOST_AUTO_TEST_CASE(SlowTokensAfterAPauseOfTheAgentAreIgnored) {
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits = {16, 2, 32, 8};
   Agent.Gate.Limit = 16;
   Agent.Gate.Pace.Warm = milliseconds(10);
-  std::vector<Engine> Hosts;
+  std::vector<RunDriver> Drivers;
   for (size_t n = 0; n < 4; ++n) {
     All.ask("e0", "reports", "", "", std::to_string(n));
-    Hosts.push_back(Engine{All});
-    Hosts.back().begin();
-    Hosts.back().token("a");
+    Drivers.push_back(RunDriver{All});
+    Drivers.back().begin();
+    Drivers.back().token("a");
   }
   All.Now += milliseconds(400);
-  for (const Engine &One : Hosts)
+  for (const RunDriver &One : Drivers)
     One.token("b");
   BOOST_TEST(Agent.Gate.Limit == 16U);
 }
--- a/tests/unit/chunk_list_test.cpp
+++ b/tests/unit/chunk_list_test.cpp
@@ -1,5 +1,4 @@
-/** @file chunk_list_test.cpp How agents learn of what chunks a version is made.
- */
+/** @file chunk_list_test.cpp Tests of how agents obtain chunk lists. */
 // Labels: weights
 
 #include "attempts/agent_func.h"
@@ -15,13 +14,13 @@
 
 namespace {
 
-constexpr LinkId Near{1};
-constexpr LinkId Far{2};
+constexpr LinkId SameDomainPeer{1};
+constexpr LinkId OtherDomainPeer{2};
 
-/** An agent in a fleet of nine workers in three domains. */
-struct OneAgent {
-  /** @param Rank Its place among the workers of its domain. */
-  explicit OneAgent(size_t Rank) {
+/** An agent of domain d0 in a fleet of nine workers in three domains. */
+struct AgentFixture {
+  /** @param Rank Its rank among the workers of its domain. */
+  explicit AgentFixture(size_t Rank) {
     auto Fleet = std::make_shared<Document>();
     for (int n = 0; n < 9; ++n) {
       Worker Host;
@@ -44,24 +43,28 @@
     Agent = makeAgent(Config, Incarnation{1}, Now);
     Agent.View.InForce = Fleet;
     planTransfer(Agent.Transfer, Agent.Weights, *Fleet, Self->Name, Now);
-    chunkPeerReady(Agent.Transfer, Near, HostName{"near"}, true);
-    chunkPeerReady(Agent.Transfer, Far, HostName{"far"}, false);
+    chunkPeerReady(Agent.Transfer, SameDomainPeer, HostName{"near"}, true);
+    chunkPeerReady(Agent.Transfer, OtherDomainPeer, HostName{"far"}, false);
   }
 
-  void follow() { obtainChunkList(Agent, Named, Now, Out); }
+  /** Lets the agent obtain the chunk list of NamedVersion. */
+  void announceVersion() { obtainChunkList(Agent, NamedVersion, Now, Out); }
 
-  ChunkRef version() const {
-    return {Named.Name, Named.Version, 0, {}, Named.Origin};
+  /** Names NamedVersion in answers of the origin. */
+  ChunkRef namedVersion() const {
+    return {
+        NamedVersion.Name, NamedVersion.Version, 0, {}, NamedVersion.Origin};
   }
 
-  bool reads() const {
+  /** Says whether the effects request the list from the origin. */
+  bool hasRequestedList() const {
     return std::ranges::any_of(Out, [](const Effect &One) {
       return std::holds_alternative<ReadChunkList>(One);
     });
   }
 
-  /** Links over which the list was told. */
-  std::vector<LinkId> told() const {
+  /** Links over which the list was sent. */
+  std::vector<LinkId> notifiedLinks() const {
     std::vector<LinkId> Links;
     for (const Effect &One : Out)
       if (const auto *Sent = std::get_if<SendMessage>(&One))
@@ -70,60 +73,68 @@
     return Links;
   }
 
-  bool wants() const { return Agent.Weights.Wanted.Set == Named.Set; }
+  /** Says whether the agent has selected NamedVersion for loading. */
+  bool hasSelectedVersion() const {
+    return Agent.Weights.Wanted.Set == NamedVersion.Set;
+  }
 
   AgentState Agent;
   TimePoint Now{std::chrono::hours(1)};
   Effects Out;
-  ModelVersion Named{{"m"}, "2", {}, 0, 0, {"m@2"}, {"10.0.0.1:1"}};
+  ModelVersion NamedVersion{{"m"}, "2", {}, 0, 0, {"m@2"}, {"10.0.0.1:1"}};
   ChunkList List{{{"c1"}, {"c2"}}, 100};
 };
 
 } // namespace
 
-// A fleet of ninety hosts took weights from an origin that failed 2.5 s after
-// they were named. All agents read the list of chunks twice, which took a third
-// of its link: one chunk of 64 had not left it, and nothing was served for 6 s.
-BOOST_AUTO_TEST_CASE(AFewReadTheListAndTellTheirDomain) {
-  OneAgent One(0);
-  One.follow();
-  BOOST_TEST(One.reads());
-  handleListRead(One.Agent, One.version(), {One.List, {}}, One.Now, One.Out);
-  BOOST_TEST(!One.wants()); // It may be damaged: once more.
-  One.Out.clear();
-  BOOST_TEST(handleListRead(One.Agent, One.version(), {One.List, {}}, One.Now,
-                            One.Out));
-  BOOST_TEST(One.wants());
-  BOOST_TEST((One.told() == std::vector<LinkId>{Near}));
+// Guards against all agents of a large fleet reading the list. At ninety hosts
+// that took a third of the origin's bandwidth. When the origin failed 2.5 s
+// after the version was named, one chunk of 64 had not left it, and no request
+// was served for 6 s.
+BOOST_AUTO_TEST_CASE(ReadersConfirmTheListAndSendItToTheirDomain) {
+  AgentFixture Test(0);
+  Test.announceVersion();
+  BOOST_TEST(Test.hasRequestedList());
+  handleListRead(Test.Agent, Test.namedVersion(), {Test.List, {}}, Test.Now,
+                 Test.Out);
+  BOOST_TEST(!Test.hasSelectedVersion()); // A second read has to confirm it.
+  Test.Out.clear();
+  BOOST_TEST(handleListRead(Test.Agent, Test.namedVersion(), {Test.List, {}},
+                            Test.Now, Test.Out));
+  BOOST_TEST(Test.hasSelectedVersion());
+  BOOST_TEST((Test.notifiedLinks() == std::vector<LinkId>{SameDomainPeer}));
 }
 
-BOOST_AUTO_TEST_CASE(TheOthersTakeWhatTheyAreTold) {
-  OneAgent One(2);
-  One.follow();
-  BOOST_TEST(!One.reads());
-  const ChunkListTold Told{{"m"}, "2", 100, One.List.Chunks};
-  BOOST_TEST(!handleListNotice(One.Agent, LinkId{9}, Told, One.Now, One.Out));
-  BOOST_TEST(handleListNotice(One.Agent, Near, Told, One.Now, One.Out));
-  BOOST_TEST(One.wants());
-  BOOST_TEST((One.Agent.Weights.Wanted.Chunks == One.List.Chunks));
-  requestMissingList(One.Agent, One.Now + Millis(1000), One.Out);
-  BOOST_TEST(!One.reads());
+BOOST_AUTO_TEST_CASE(OtherAgentsAcceptTheListFromAPeer) {
+  AgentFixture Test(2);
+  Test.announceVersion();
+  BOOST_TEST(!Test.hasRequestedList());
+  const ChunkListTold Told{{"m"}, "2", 100, Test.List.Chunks};
+  BOOST_TEST(
+      !handleListNotice(Test.Agent, LinkId{9}, Told, Test.Now, Test.Out));
+  BOOST_TEST(
+      handleListNotice(Test.Agent, SameDomainPeer, Told, Test.Now, Test.Out));
+  BOOST_TEST(Test.hasSelectedVersion());
+  BOOST_TEST((Test.Agent.Weights.Wanted.Chunks == Test.List.Chunks));
+  requestMissingList(Test.Agent, Test.Now + Millis(1000), Test.Out);
+  BOOST_TEST(!Test.hasRequestedList());
 }
 
-BOOST_AUTO_TEST_CASE(AListThatComesBeforeTheDocumentIsKept) {
-  OneAgent One(2);
-  const ChunkListTold Told{{"m"}, "2", 100, One.List.Chunks};
-  BOOST_TEST(!handleListNotice(One.Agent, Near, Told, One.Now, One.Out));
-  One.follow();
-  BOOST_TEST(One.wants());
-  BOOST_TEST(!One.reads());
+BOOST_AUTO_TEST_CASE(ListThatArrivesBeforeTheDocumentIsKept) {
+  AgentFixture Test(2);
+  const ChunkListTold Told{{"m"}, "2", 100, Test.List.Chunks};
+  BOOST_TEST(
+      !handleListNotice(Test.Agent, SameDomainPeer, Told, Test.Now, Test.Out));
+  Test.announceVersion();
+  BOOST_TEST(Test.hasSelectedVersion());
+  BOOST_TEST(!Test.hasRequestedList());
 }
 
-BOOST_AUTO_TEST_CASE(WhoIsNotToldReadsTheListItself) {
-  OneAgent One(2);
-  One.follow();
-  requestMissingList(One.Agent, One.Now + Millis(399), One.Out);
-  BOOST_TEST(!One.reads());
-  requestMissingList(One.Agent, One.Now + Millis(400), One.Out);
-  BOOST_TEST(One.reads());
+BOOST_AUTO_TEST_CASE(AgentWithoutAListFromAPeerReadsIt) {
+  AgentFixture Test(2);
+  Test.announceVersion();
+  requestMissingList(Test.Agent, Test.Now + Millis(399), Test.Out);
+  BOOST_TEST(!Test.hasRequestedList());
+  requestMissingList(Test.Agent, Test.Now + Millis(400), Test.Out);
+  BOOST_TEST(Test.hasRequestedList());
 }
--- a/tests/unit/one_host.h
+++ b/tests/unit/one_host.h
@@ -1,5 +1,5 @@
-/** @file one_host.h One agent in the exchange of chunks, its clock moved by
- * hand. */
+/** @file one_host.h Test fixture: one host in the exchange of chunks, with a
+ * manual clock. */
 
 #ifndef JACINTHPOND_TESTS_ONE_HOST_H
 #define JACINTHPOND_TESTS_ONE_HOST_H
@@ -16,10 +16,12 @@
 constexpr LinkId PeerA{1};
 constexpr LinkId PeerB{2};
 
+/** Makes the bytes of a chunk. */
 inline ChunkBytes content(const std::string &Text) {
   return std::make_shared<const std::string>(Text);
 }
 
+/** Makes a version of model "m" with one chunk for each text. */
 inline ModelVersion version(const std::vector<std::string> &Texts) {
   ModelVersion Model;
   Model.Name.Value = "m";
@@ -29,7 +31,8 @@
   return Model;
 }
 
-/** One host with two linked peers of its domain; the clock stands still. */
+/** A host with links to two peers of its domain; Now changes only in asked().
+ */
 struct Host {
   explicit Host(const std::string &Name = "w0", double LinkMegabits = 0) {
     for (const char *One : {"w0", "w1", "w2", "w3"}) {
@@ -50,18 +53,22 @@
     chunkPeerReady(Transfer, PeerB, {"w2"}, true);
   }
 
+  /** Selects a version for loading and plans its transfer. */
   void want(const ModelVersion &Model) {
     wantWeights(Weights, Model);
     planTransfer(Transfer, Weights, Doc, Self, Now);
   }
+  /** Handles a peer's notice of its chunks; each argument is a bit mask. */
   void have(LinkId Link, uint8_t Held, uint8_t Coming = 0) {
     chunkHaveHeard(Transfer, Link, {Weights.Wanted.Set, {Held}, {Coming}}, Now);
   }
+  /** Handles a peer's answer to the request for chunk Asked. */
   void give(LinkId Link, const std::string &Asked, const std::string &Came) {
     chunkFromPeer(Transfer, Weights, Link, sha256(Asked),
                   checkChunk(content(Came)), Now, Out);
   }
-  /** Moves on by some time; gives the links that were asked. */
+  /** Advances the clock, lets chunks be requested, and gives the links to the
+   * peers that were asked. */
   std::vector<LinkId> asked(Millis Passed = Millis(0)) {
     Now += Passed;
     Out.clear();
@@ -73,6 +80,7 @@
         Links.push_back(Send->Link);
     return Links;
   }
+  /** Counts the chunks requested from the origin in the latest effects. */
   size_t drawn() const {
     return static_cast<size_t>(
         std::ranges::count_if(Out, [](const Effect &One) {
@@ -88,6 +96,7 @@
   Effects Out;
 };
 
+/** Expected result of Host::asked() when no peer was asked. */
 inline const std::vector<LinkId> None;
 
 } // namespace jacinthpond
--- a/tests/unit/place_test.cpp
+++ b/tests/unit/place_test.cpp
@@ -1,4 +1,6 @@
-/** @file place_test.cpp Places at a back end, given by its agent. */
+/** @file place_test.cpp Tests of the places at a back end that its agent
+ * grants.
+ */
 // Labels: routes admission
 
 #include "admission/first_part_func.h"
@@ -19,9 +21,9 @@
 constexpr LinkId EntryA{1};
 constexpr LinkId EntryB{2};
 
-/** An agent beside a loaded worker with two places, one of them ahead. */
-struct OneAgent {
-  OneAgent() {
+/** An agent beside an engine with loaded weights, limited to two requests. */
+struct AgentFixture {
+  AgentFixture() {
     Settings Config;
     Config.Name = "w:1";
     Config.Platform = "store";
@@ -37,16 +39,18 @@
     Agent.Gate.ServiceTime = Millis(100);
   }
 
-  void limit(uint32_t Places) {
+  /** Sets the concurrency limit. */
+  void setLimit(uint32_t Places) {
     Agent.Gate.Limits = {Places, Places, 2, 8};
     Agent.Gate.Limit = Places;
   }
 
-  /** Asks for a place; gives the answer, if there is one at once. */
-  std::optional<PlaceAnswer> ask(const std::string &Id, Millis Wait,
-                                 uint32_t Prompt = 0, uint32_t Rank = 1,
-                                 LinkId Link = EntryA, uint32_t MostReading = 0,
-                                 bool Spare = false) {
+  /** Requests a place. Returns the answer, or nothing when the request waits.
+   */
+  std::optional<PlaceAnswer>
+  requestPlace(const std::string &Id, Millis Wait, uint32_t Prompt = 0,
+               uint32_t Rank = 1, LinkId Link = EntryA,
+               uint32_t MostReading = 0, bool Spare = false) {
     Out.clear();
     PlaceAsk m;
     m.Place.Value = Id;
@@ -57,16 +61,18 @@
     m.MostReadingMillis = MostReading;
     m.Spare = Spare;
     handlePlaceRequest(Agent, Link, m, Now, Out);
-    return answered(Id);
+    return lastAnswer(Id);
   }
 
-  void done(const std::string &Id, bool Whole = true, bool Sent = true) {
+  /** Releases a place, or withdraws a request for one. */
+  void releasePlace(const std::string &Id, bool Whole = true,
+                    bool Sent = true) {
     Out.clear();
     handlePlaceRelease(Agent, {{Id}, Whole, Sent}, Now, Out);
   }
 
-  /** The answer about a place in the last effects. */
-  std::optional<PlaceAnswer> answered(const std::string &Id) const {
+  /** Finds the answer to a request for a place in the latest effects. */
+  std::optional<PlaceAnswer> lastAnswer(const std::string &Id) const {
     std::optional<PlaceAnswer> Found;
     for (const Effect &One : Out)
       if (const auto *Sent = std::get_if<SendMessage>(&One))
@@ -76,8 +82,9 @@
     return Found;
   }
 
-  bool given(const std::string &Id) const {
-    const auto Found = answered(Id);
+  /** Says whether the latest effects grant a place. */
+  bool isGranted(const std::string &Id) const {
+    const auto Found = lastAnswer(Id);
     return Found && Found->Given;
   }
 
@@ -88,225 +95,235 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(PlacesAreGivenUpToTheLimitAndThenInTurn) {
-  OneAgent One;
-  BOOST_TEST(One.ask("a", Millis(500))->Given);
-  BOOST_TEST(One.ask("b", Millis(500))->Given);
-  BOOST_TEST(!One.ask("c", Millis(500)).has_value());
-  One.done("a");
-  BOOST_TEST(One.given("c"));
+BOOST_AUTO_TEST_CASE(PlacesAreGrantedUpToTheLimitAndThenInTurn) {
+  AgentFixture Test;
+  BOOST_TEST(Test.requestPlace("a", Millis(500))->Given);
+  BOOST_TEST(Test.requestPlace("b", Millis(500))->Given);
+  BOOST_TEST(!Test.requestPlace("c", Millis(500)).has_value());
+  Test.releasePlace("a");
+  BOOST_TEST(Test.isGranted("c"));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatCannotBeginInTimeIsRefusedAtOnce) {
-  // A caller whose stream had to begin within 0.4 s was held in a queue of
-  // 0.6 s, got its first event late and made all those behind it late too.
-  OneAgent One;
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  const auto Answer = One.ask("c", Millis(10));
+BOOST_AUTO_TEST_CASE(RequestThatCannotBeginInTimeIsRefusedAtOnce) {
+  // Guards against a request being queued although it will be late. One whose
+  // stream had to begin within 0.4 s waited in a queue of 0.6 s and made all
+  // those behind it late too.
+  AgentFixture Test;
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  const auto Answer = Test.requestPlace("c", Millis(10));
   BOOST_REQUIRE(Answer.has_value());
   BOOST_TEST(!Answer->Given);
   BOOST_CHECK(Answer->Why == ErrorKind::Overloaded);
   BOOST_TEST(Answer->RetryAfterMillis > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(OneThatWaitedTooLongIsRefused) {
-  OneAgent One;
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  One.ask("c", Millis(200));
-  One.Now += Millis(201);
-  One.Out.clear();
-  expirePlaces(One.Agent, One.Now, One.Out);
-  BOOST_REQUIRE(One.answered("c").has_value());
-  BOOST_TEST(!One.given("c"));
-  One.done("a");
-  BOOST_TEST(!One.answered("c").has_value());
+BOOST_AUTO_TEST_CASE(RequestThatWaitedTooLongIsRefused) {
+  AgentFixture Test;
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  Test.requestPlace("c", Millis(200));
+  Test.Now += Millis(201);
+  Test.Out.clear();
+  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  BOOST_REQUIRE(Test.lastAnswer("c").has_value());
+  BOOST_TEST(!Test.isGranted("c"));
+  Test.releasePlace("a");
+  BOOST_TEST(!Test.lastAnswer("c").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(UrgentOnesGoFirst) {
-  OneAgent One;
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  One.ask("late", Millis(500), 0, 3);
-  One.ask("urgent", Millis(500), 0, 0);
-  One.done("a");
-  BOOST_TEST(One.given("urgent"));
-  BOOST_TEST(!One.given("late"));
+BOOST_AUTO_TEST_CASE(UrgentRequestsGoFirst) {
+  AgentFixture Test;
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  Test.requestPlace("late", Millis(500), 0, 3);
+  Test.requestPlace("urgent", Millis(500), 0, 0);
+  Test.releasePlace("a");
+  BOOST_TEST(Test.isGranted("urgent"));
+  BOOST_TEST(!Test.isGranted("late"));
 }
 
-BOOST_AUTO_TEST_CASE(PromptsAreReadOneAfterTheOther) {
-  // Three long prompts came to one worker at the same moment. All its answers
-  // paused for half a second, and their callers counted them as late.
-  OneAgent One;
-  One.Agent.Reading.TokensPerSecond = 10000;
-  BOOST_TEST(One.ask("a", Millis(500), 3000)->Given);
-  BOOST_TEST(!One.ask("b", Millis(500), 3000).has_value());
-  One.Now += Millis(100);
-  One.Out.clear();
-  agentTick(One.Agent, One.Now, One.Out);
-  BOOST_TEST(!One.given("b"));
-  One.Now += Millis(120);
-  One.Out.clear();
-  agentTick(One.Agent, One.Now, One.Out);
-  BOOST_TEST(One.given("b"));
+BOOST_AUTO_TEST_CASE(NextPlaceWaitsUntilPromptsAreRead) {
+  // Guards against several long prompts at once. Three of them made all answers
+  // of a worker pause for half a second, which made these late.
+  AgentFixture Test;
+  Test.Agent.Reading.TokensPerSecond = 10000;
+  BOOST_TEST(Test.requestPlace("a", Millis(500), 3000)->Given);
+  BOOST_TEST(!Test.requestPlace("b", Millis(500), 3000).has_value());
+  Test.Now += Millis(100);
+  Test.Out.clear();
+  agentTick(Test.Agent, Test.Now, Test.Out);
+  BOOST_TEST(!Test.isGranted("b"));
+  Test.Now += Millis(120);
+  Test.Out.clear();
+  agentTick(Test.Agent, Test.Now, Test.Out);
+  BOOST_TEST(Test.isGranted("b"));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerTellsWhatIsLeftToRead) {
-  OneAgent One;
-  One.Agent.Reading.TokensPerSecond = 10000;
-  BOOST_TEST(One.ask("a", Millis(500), 500)->ReadingMillis == 50U);
+BOOST_AUTO_TEST_CASE(AnswerContainsRemainingReadingTime) {
+  AgentFixture Test;
+  Test.Agent.Reading.TokensPerSecond = 10000;
+  BOOST_TEST(Test.requestPlace("a", Millis(500), 500)->ReadingMillis == 50U);
 }
 
-BOOST_AUTO_TEST_CASE(AnEntryThatDiesLeavesItsPlacesAfterAWhile) {
-  // An entry was killed while it held all places of a worker. The worker ended
-  // its runs with their connections; its agent gave no place ever after.
-  OneAgent One;
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  detachPlaces(One.Agent, EntryA, One.Now, One.Out);
-  One.ask("c", Millis(5000), 0, 1, EntryB);
-  One.Now += Millis(1900);
-  One.Out.clear();
-  expirePlaces(One.Agent, One.Now, One.Out);
-  BOOST_TEST(!One.given("c"));
-  One.Now += Millis(200);
-  expirePlaces(One.Agent, One.Now, One.Out);
-  // The worker may be at the runs still, until its report says less.
+BOOST_AUTO_TEST_CASE(PlacesOfADeadEntryAreReleased) {
+  // Guards against places that are never released. An entry was killed while it
+  // held all places of a worker, and the agent granted none from then on.
+  AgentFixture Test;
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  detachPlaces(Test.Agent, EntryA, Test.Now, Test.Out);
+  Test.requestPlace("c", Millis(5000), 0, 1, EntryB);
+  Test.Now += Millis(1900);
+  Test.Out.clear();
+  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  BOOST_TEST(!Test.isGranted("c"));
+  Test.Now += Millis(200);
+  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  // The engine may still run the requests until its report says otherwise.
   EngineState Idle;
   Idle.Run = "run 1";
   Idle.Weights.Value = "m@1";
-  engineStateRead(One.Agent, {Idle, {}}, 0, One.Now, One.Out);
-  BOOST_TEST(One.given("c"));
+  engineStateRead(Test.Agent, {Idle, {}}, 0, Test.Now, Test.Out);
+  BOOST_TEST(Test.isGranted("c"));
 }
 
-BOOST_AUTO_TEST_CASE(AWithdrawnRequestTakesNoTurn) {
-  OneAgent One;
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  One.ask("c", Millis(500));
-  One.ask("d", Millis(500));
-  One.done("c", false, false);
-  One.done("a");
-  BOOST_TEST(One.given("d"));
+BOOST_AUTO_TEST_CASE(WithdrawnRequestIsSkipped) {
+  AgentFixture Test;
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  Test.requestPlace("c", Millis(500));
+  Test.requestPlace("d", Millis(500));
+  Test.releasePlace("c", false, false);
+  Test.releasePlace("a");
+  BOOST_TEST(Test.isGranted("d"));
 }
 
-BOOST_AUTO_TEST_CASE(ALoadingWorkerGivesNoPlace) {
-  OneAgent One;
-  One.Agent.Weights.Draining = true;
-  BOOST_CHECK(One.ask("a", Millis(500))->Why == ErrorKind::WeightsNotReady);
-  One.Agent.Weights.Draining = false;
-  One.Agent.Weights.EngineBusy = true;
-  BOOST_CHECK(One.ask("b", Millis(500))->Why == ErrorKind::WeightsNotReady);
+BOOST_AUTO_TEST_CASE(LoadingWorkerRefusesPlaces) {
+  AgentFixture Test;
+  Test.Agent.Weights.Draining = true;
+  BOOST_CHECK(Test.requestPlace("a", Millis(500))->Why ==
+              ErrorKind::WeightsNotReady);
+  Test.Agent.Weights.Draining = false;
+  Test.Agent.Weights.EngineBusy = true;
+  BOOST_CHECK(Test.requestPlace("b", Millis(500))->Why ==
+              ErrorKind::WeightsNotReady);
 }
 
-BOOST_AUTO_TEST_CASE(AskedTwiceCountsOnce) {
-  OneAgent One;
-  One.ask("a", Millis(500));
-  BOOST_TEST(!One.ask("a", Millis(500)).has_value());
-  BOOST_TEST(One.Agent.Gate.Running == 1U);
+BOOST_AUTO_TEST_CASE(RepeatedRequestCountsOnce) {
+  AgentFixture Test;
+  Test.requestPlace("a", Millis(500));
+  BOOST_TEST(!Test.requestPlace("a", Millis(500)).has_value());
+  BOOST_TEST(Test.Agent.Gate.Running == 1U);
 }
 
-// An entry looks for an idle back end first: one that has a prompt to read, or
-// work waiting, says so at once instead of letting the request wait.
-BOOST_AUTO_TEST_CASE(ABusyOneRefusesWhoLooksForAnIdleOne) {
-  OneAgent One;
-  One.Agent.Reading.TokensPerSecond = 1000;
-  BOOST_TEST(One.ask("a", Millis(500), 50, 1, EntryA, 20)->Given);
-  const auto Refused = One.ask("b", Millis(500), 50, 1, EntryA, 20);
+// An entry looks for an idle back end first. One that has prompts to read or
+// queued work has to refuse such a request at once instead of queueing it.
+BOOST_AUTO_TEST_CASE(BusyBackEndRefusesRequestForIdleOne) {
+  AgentFixture Test;
+  Test.Agent.Reading.TokensPerSecond = 1000;
+  BOOST_TEST(Test.requestPlace("a", Millis(500), 50, 1, EntryA, 20)->Given);
+  const auto Refused = Test.requestPlace("b", Millis(500), 50, 1, EntryA, 20);
   BOOST_TEST(!Refused->Given);
   BOOST_TEST((Refused->Why == ErrorKind::Overloaded));
   BOOST_TEST(Refused->ReadingMillis == 50);
-  BOOST_TEST(One.ask("c", Millis(500), 50, 1, EntryA, 60)->Given);
-  BOOST_TEST(!One.ask("d", Millis(500)).has_value()); // Waits: two places.
-  BOOST_TEST(!One.ask("e", Millis(500), 0, 1, EntryA, 1000)->Given);
+  BOOST_TEST(Test.requestPlace("c", Millis(500), 50, 1, EntryA, 60)->Given);
+  BOOST_TEST(!Test.requestPlace("d", Millis(500))
+                  .has_value()); // Queued: the limit is two.
+  BOOST_TEST(!Test.requestPlace("e", Millis(500), 0, 1, EntryA, 1000)->Given);
 }
 
-// In an overload refused callers come back. Each place that one of them takes
-// makes a fresh request late, which then comes back as well, so that nobody is
-// on time any more. Late ones take only what fresh ones leave.
-BOOST_AUTO_TEST_CASE(LateRequestsTakeOnlySpareRoom) {
-  OneAgent One;
-  One.limit(16);
-  const auto AskLate = [&](const std::string &Id) {
-    return One.ask(Id, Millis(1000), 0, 1, EntryA, 0, true);
+// Guards against an overload in which no request is on time any more: a retry
+// of a late request takes a place, which makes a fresh request late and leads
+// to its retry. Late requests get only capacity that fresh ones don't need.
+BOOST_AUTO_TEST_CASE(LateRequestsGetOnlySpareCapacity) {
+  AgentFixture Test;
+  Test.setLimit(16);
+  const auto RequestLatePlace = [&](const std::string &Id) {
+    return Test.requestPlace(Id, Millis(1000), 0, 1, EntryA, 0, true);
   };
   for (int n = 0; n < 12; ++n)
-    BOOST_TEST(One.ask("a" + std::to_string(n), Millis(100))->Given);
-  BOOST_TEST(AskLate("late 1")->Given); // Three places stay free.
-  BOOST_TEST(!AskLate("late 2").has_value());
-  BOOST_TEST(One.ask("b", Millis(100), 0, 1, EntryA, 60)->Given);
-  One.done("a0");
-  BOOST_TEST(!One.given("late 2"));
-  One.done("a1");
-  BOOST_TEST(One.given("late 2"));
+    BOOST_TEST(Test.requestPlace("a" + std::to_string(n), Millis(100))->Given);
+  BOOST_TEST(RequestLatePlace("late 1")->Given); // Three places stay reserved.
+  BOOST_TEST(!RequestLatePlace("late 2").has_value());
+  BOOST_TEST(Test.requestPlace("b", Millis(100), 0, 1, EntryA, 60)->Given);
+  Test.releasePlace("a0");
+  BOOST_TEST(!Test.isGranted("late 2"));
+  Test.releasePlace("a1");
+  BOOST_TEST(Test.isGranted("late 2"));
 }
 
-// A small back end that keeps three places for others would never take one.
-BOOST_AUTO_TEST_CASE(ASmallIdleBackEndTakesLateRequests) {
-  OneAgent One;
-  BOOST_TEST(One.ask("late", Millis(1000), 0, 1, EntryA, 0, true)->Given);
+// Guards against a back end with few places reserving all of them.
+BOOST_AUTO_TEST_CASE(SmallIdleBackEndAcceptsLateRequests) {
+  AgentFixture Test;
+  BOOST_TEST(
+      Test.requestPlace("late", Millis(1000), 0, 1, EntryA, 0, true)->Given);
 }
 
-BOOST_AUTO_TEST_CASE(ALateRequestWaitsNoLongerThanItSaid) {
-  OneAgent One;
-  BOOST_TEST(One.ask("a", Millis(100))->Given);
-  BOOST_TEST(One.ask("b", Millis(100))->Given);
-  BOOST_TEST(!One.ask("late", Millis(1000), 0, 1, EntryA, 0, true).has_value());
-  One.Now += Millis(1000);
-  One.Out.clear();
-  expirePlaces(One.Agent, One.Now, One.Out);
-  BOOST_TEST(!One.answered("late")->Given);
-  BOOST_TEST(One.Agent.SpareQueue.empty());
-  BOOST_TEST(One.Agent.Places.size() == 2U);
+BOOST_AUTO_TEST_CASE(LateRequestIsRefusedAfterItsWait) {
+  AgentFixture Test;
+  BOOST_TEST(Test.requestPlace("a", Millis(100))->Given);
+  BOOST_TEST(Test.requestPlace("b", Millis(100))->Given);
+  BOOST_TEST(!Test.requestPlace("late", Millis(1000), 0, 1, EntryA, 0, true)
+                  .has_value());
+  Test.Now += Millis(1000);
+  Test.Out.clear();
+  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  BOOST_TEST(!Test.lastAnswer("late")->Given);
+  BOOST_TEST(Test.Agent.SpareQueue.empty());
+  BOOST_TEST(Test.Agent.Places.size() == 2U);
 }
 
-// An agent that leaves or loads tells those that wait for spare room as well.
+// Guards against requests that wait for spare capacity being forgotten when the
+// agent stops.
 BOOST_AUTO_TEST_CASE(LateRequestsAreRefusedWhenTheAgentStops) {
-  OneAgent One;
-  BOOST_TEST(One.ask("a", Millis(100))->Given);
-  BOOST_TEST(One.ask("b", Millis(100))->Given);
-  BOOST_TEST(!One.ask("late", Millis(1000), 0, 1, EntryA, 0, true).has_value());
-  One.Out.clear();
-  agentStop(One.Agent, One.Now, One.Out);
-  BOOST_TEST((One.answered("late")->Why == ErrorKind::Leaving));
-  BOOST_TEST(One.Agent.Places.size() == 2U);
+  AgentFixture Test;
+  BOOST_TEST(Test.requestPlace("a", Millis(100))->Given);
+  BOOST_TEST(Test.requestPlace("b", Millis(100))->Given);
+  BOOST_TEST(!Test.requestPlace("late", Millis(1000), 0, 1, EntryA, 0, true)
+                  .has_value());
+  Test.Out.clear();
+  agentStop(Test.Agent, Test.Now, Test.Out);
+  BOOST_TEST((Test.lastAnswer("late")->Why == ErrorKind::Leaving));
+  BOOST_TEST(Test.Agent.Places.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(NoPlaceIsGivenOnWeightsThatAreTooOld) {
-  // An entry that had stood still took a version for news and sent requests to
-  // a worker that still had the one before. Its agent knew for nine seconds
-  // that these weights were replaced, and gave every place that was asked for.
-  OneAgent One;
-  One.Agent.Config.WeightsChangeMillis = 8000;
-  One.Agent.Weights.AtEngine = true;
-  noteNewest(One.Agent.Weights, Digest{"m@2"}, One.Now);
-  BOOST_TEST(One.ask("soon", Millis(0))->Given);
-  One.Now += Millis(8000);
-  const auto Late = One.ask("late", Millis(0));
+BOOST_AUTO_TEST_CASE(NoPlaceIsGrantedOnOutdatedWeights) {
+  // Guards against outdated weights being used for an entry with an outdated
+  // view. After a pause, an entry sent requests to a worker with the previous
+  // version; its agent had known of the new one for nine seconds and granted
+  // every place.
+  AgentFixture Test;
+  Test.Agent.Config.WeightsChangeMillis = 8000;
+  Test.Agent.Weights.AtEngine = true;
+  noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
+  BOOST_TEST(Test.requestPlace("soon", Millis(0))->Given);
+  Test.Now += Millis(8000);
+  const auto Late = Test.requestPlace("late", Millis(0));
   BOOST_REQUIRE(Late);
   BOOST_TEST(!Late->Given);
   BOOST_CHECK(Late->Why == ErrorKind::WeightsNotReady);
 }
 
-BOOST_AUTO_TEST_CASE(WhoWaitsForWeightsThatBecomeTooOldIsRefused) {
-  OneAgent One;
-  One.Agent.Config.WeightsChangeMillis = 8000;
-  One.Agent.Weights.AtEngine = true;
-  noteNewest(One.Agent.Weights, Digest{"m@2"}, One.Now);
-  One.Now += Millis(6700);
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  BOOST_TEST(!One.ask("c", Millis(500)).has_value());
-  One.Now += Millis(100);
-  expirePlaces(One.Agent, One.Now, One.Out);
-  const auto Answer = One.answered("c");
+BOOST_AUTO_TEST_CASE(QueuedRequestIsRefusedWhenWeightsBecomeOutdated) {
+  AgentFixture Test;
+  Test.Agent.Config.WeightsChangeMillis = 8000;
+  Test.Agent.Weights.AtEngine = true;
+  noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
+  Test.Now += Millis(6700);
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  BOOST_TEST(!Test.requestPlace("c", Millis(500)).has_value());
+  Test.Now += Millis(100);
+  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  const auto Answer = Test.lastAnswer("c");
   BOOST_REQUIRE(Answer);
   BOOST_CHECK(Answer->Why == ErrorKind::WeightsNotReady);
 }
 
-/** A request whose first part is wanted within a time. */
-PlaceAsk wantedWithin(const std::string &Id, Millis Time, uint32_t Prompt) {
+/** Builds a request for a place with a target time for its first part. */
+PlaceAsk requestWithTarget(const std::string &Id, Millis Time,
+                           uint32_t Prompt) {
   PlaceAsk m;
   m.Place.Value = Id;
   m.Tenant.Value = "t";
@@ -315,81 +332,84 @@
   return m;
 }
 
-BOOST_AUTO_TEST_CASE(WhoWouldBeLateIsNotLetWait) {
-  // More callers came than all workers could serve. Each waited until just
-  // before its target for a place at a full engine, which then took another
-  // quarter of a second to its first token: a third of all answers were late,
-  // and fresh requests that could have been on time were refused meanwhile.
-  OneAgent One;
-  One.Agent.Reading.TokensPerSecond = 10000;
+BOOST_AUTO_TEST_CASE(RequestThatWouldBeLateIsNotQueued) {
+  // Guards against an overload in which requests wait until just before their
+  // target. The full engine then took another quarter of a second to the first
+  // token. A third of all answers were late, and fresh requests that could have
+  // been on time were refused.
+  AgentFixture Test;
+  Test.Agent.Reading.TokensPerSecond = 10000;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(One.Agent.FirstPart, Millis(220), Millis(0));
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  One.Out.clear();
-  // 220 ms beside 150 ms of its own prompt leave no time for a wait.
-  handlePlaceRequest(One.Agent, EntryA, wantedWithin("long", Millis(380), 1500),
-                     One.Now, One.Out);
-  BOOST_REQUIRE(One.answered("long"));
-  BOOST_TEST(!One.given("long"));
-  One.Out.clear();
-  handlePlaceRequest(One.Agent, EntryA, wantedWithin("short", Millis(380), 100),
-                     One.Now, One.Out);
-  BOOST_TEST(!One.answered("short")); // Waits for 150 ms.
-  One.done("a");
-  BOOST_TEST(One.given("short"));
+    firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  Test.Out.clear();
+  // 220 ms, and 150 ms for its own prompt, leave almost no time to wait.
+  handlePlaceRequest(Test.Agent, EntryA,
+                     requestWithTarget("long", Millis(380), 1500), Test.Now,
+                     Test.Out);
+  BOOST_REQUIRE(Test.lastAnswer("long"));
+  BOOST_TEST(!Test.isGranted("long"));
+  Test.Out.clear();
+  handlePlaceRequest(Test.Agent, EntryA,
+                     requestWithTarget("short", Millis(380), 100), Test.Now,
+                     Test.Out);
+  BOOST_TEST(!Test.lastAnswer("short")); // May wait for 150 ms.
+  Test.releasePlace("a");
+  BOOST_TEST(Test.isGranted("short"));
 }
 
-BOOST_AUTO_TEST_CASE(ATurnIsNotSpentOnWhoIsLateByNow) {
-  OneAgent One;
+BOOST_AUTO_TEST_CASE(QueuedRequestThatIsLateByNowIsRefused) {
+  AgentFixture Test;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(One.Agent.FirstPart, Millis(220), Millis(0));
-  One.ask("a", Millis(500));
-  One.ask("b", Millis(500));
-  handlePlaceRequest(One.Agent, EntryA, wantedWithin("c", Millis(380), 0),
-                     One.Now, One.Out);
-  One.Now += Millis(170); // 220 ms later it would be late.
-  One.done("a");
-  BOOST_REQUIRE(One.answered("c"));
-  BOOST_TEST(!One.given("c"));
-  BOOST_TEST(One.Agent.Gate.Running == 1U);
+    firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
+  Test.requestPlace("a", Millis(500));
+  Test.requestPlace("b", Millis(500));
+  handlePlaceRequest(Test.Agent, EntryA, requestWithTarget("c", Millis(380), 0),
+                     Test.Now, Test.Out);
+  Test.Now += Millis(170); // With 220 ms more it would be late.
+  Test.releasePlace("a");
+  BOOST_REQUIRE(Test.lastAnswer("c"));
+  BOOST_TEST(!Test.isGranted("c"));
+  BOOST_TEST(Test.Agent.Gate.Running == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(WhereAllFirstPartsComeLatePlacesAreGivenWhileThereIsRoom) {
-  // A route may want its first part sooner than its back ends ever give it. A
-  // late answer is better than none, as long as nobody has to wait for it.
-  OneAgent One;
+BOOST_AUTO_TEST_CASE(FreePlaceIsGrantedEvenIfTheAnswerWillBeLate) {
+  // The target time of a route may be shorter than its back ends ever achieve.
+  // A late answer is better than none while no other request is delayed.
+  AgentFixture Test;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(One.Agent.FirstPart, Millis(900), Millis(0));
-  handlePlaceRequest(One.Agent, EntryA, wantedWithin("a", Millis(380), 0),
-                     One.Now, One.Out);
-  BOOST_TEST(One.given("a"));
+    firstPartSeen(Test.Agent.FirstPart, Millis(900), Millis(0));
+  handlePlaceRequest(Test.Agent, EntryA, requestWithTarget("a", Millis(380), 0),
+                     Test.Now, Test.Out);
+  BOOST_TEST(Test.isGranted("a"));
 }
 
-BOOST_AUTO_TEST_CASE(InALastingShortageLateRequestsAreToldAtOnce) {
-  // All places were taken for half a minute. Of 1,078 late requests that waited
-  // for spare room 1,057 were refused after up to 3 s; they could have been
-  // told at once.
-  OneAgent One;
-  BOOST_TEST(One.ask("a", Millis(100))->Given);
-  BOOST_TEST(One.ask("b", Millis(100))->Given);
-  const auto AskLate = [&](const std::string &Id) {
-    return One.ask(Id, Millis(1000), 0, 1, EntryA, 0, true);
+BOOST_AUTO_TEST_CASE(LateRequestsAreRefusedAtOnceInALastingOverload) {
+  // Guards against queueing late requests in vain. While all places were taken
+  // for half a minute, 1,057 of 1,078 late requests that were queued for spare
+  // capacity were refused only after up to 3 s.
+  AgentFixture Test;
+  BOOST_TEST(Test.requestPlace("a", Millis(100))->Given);
+  BOOST_TEST(Test.requestPlace("b", Millis(100))->Given);
+  const auto RequestLatePlace = [&](const std::string &Id) {
+    return Test.requestPlace(Id, Millis(1000), 0, 1, EntryA, 0, true);
   };
-  BOOST_TEST(!AskLate("late 1").has_value()); // There was room just now.
-  One.Now += Millis(1001);
-  expirePlaces(One.Agent, One.Now, One.Out);
-  const auto Refused = AskLate("late 2");
+  BOOST_TEST(
+      !RequestLatePlace("late 1").has_value()); // There was capacity until now.
+  Test.Now += Millis(1001);
+  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  const auto Refused = RequestLatePlace("late 2");
   BOOST_REQUIRE(Refused);
   BOOST_TEST(!Refused->Given);
-  One.done("a");
-  BOOST_TEST(AskLate("late 3")->Given);
+  Test.releasePlace("a");
+  BOOST_TEST(RequestLatePlace("late 3")->Given);
 }
 
-BOOST_AUTO_TEST_CASE(AWorkerHasThePlacesThatItIsListedWith) {
-  // Workers of 15 slots were given two requests at a time: 16 places happened
-  // to be the limit of a warm engine in the settings, so that the limit of a
-  // cold one stayed in force.
+BOOST_AUTO_TEST_CASE(ListedSlotsReplaceTheLimitsFromTheSettings) {
+  // Guards against the cold limit of the settings staying in force. Workers of
+  // 15 slots got two requests at a time, since 16 places happened to equal the
+  // warm limit of the settings.
   Settings Config;
   Config.Name = "10.0.0.1:9";
   Config.Platform = "store";
@@ -418,57 +438,60 @@
   BOOST_TEST(Agent.Gate.Limit == 16U);
 }
 
-// Guards against a busy worker that is taken for one whose host stands still.
-BOOST_AUTO_TEST_CASE(AFullAgentAnswersAPingAtOnce) {
-  OneAgent One;
-  One.limit(1);
-  BOOST_TEST(One.ask("a", Millis(0))->Given);
-  One.Agent.Fleet.Links[EntryA].State = LinkState::Ready;
-  One.Out.clear();
-  agentMessage(One.Agent, EntryA, Ping{3}, One.Now, One.Out);
-  BOOST_REQUIRE(One.Out.size() == 1U);
-  const auto &Sent = std::get<SendMessage>(One.Out.front());
+// Guards against a busy worker being taken for one whose host is paused.
+BOOST_AUTO_TEST_CASE(FullAgentAnswersPingAtOnce) {
+  AgentFixture Test;
+  Test.setLimit(1);
+  BOOST_TEST(Test.requestPlace("a", Millis(0))->Given);
+  Test.Agent.Fleet.Links[EntryA].State = LinkState::Ready;
+  Test.Out.clear();
+  agentMessage(Test.Agent, EntryA, Ping{3}, Test.Now, Test.Out);
+  BOOST_REQUIRE(Test.Out.size() == 1U);
+  const auto &Sent = std::get<SendMessage>(Test.Out.front());
   BOOST_TEST((Sent.Link == EntryA));
   BOOST_TEST(std::get<Pong>(Sent.Content).Sequence == 3U);
 }
 
-// Guards against a back end that gets more places than its own rate limit
-// allows, however many entries ask for them.
-BOOST_AUTO_TEST_CASE(PlacesKeepTheRateLimitOfTheBackEnd) {
-  OneAgent One;
-  One.limit(16);
-  const TimePoint Begin = One.Now;
-  handleRateNotice(One.Agent, {{}, {}, 2.7, 0}, One.Now, One.Out);
+// Guards against an agent that grants more places than the back end's own rate
+// limit allows, however many entries request them.
+BOOST_AUTO_TEST_CASE(GrantsStayWithinTheRateLimitOfTheBackEnd) {
+  AgentFixture Test;
+  Test.setLimit(16);
+  const TimePoint Begin = Test.Now;
+  handleRateNotice(Test.Agent, {{}, {}, 2.7, 0}, Test.Now, Test.Out);
   uint32_t Given = 0;
-  for (int n = 0; One.Now < Begin + Millis(4000); ++n, One.Now += Millis(20)) {
+  for (int n = 0; Test.Now < Begin + Millis(4000);
+       ++n, Test.Now += Millis(20)) {
     const std::string Id = std::to_string(n);
-    const auto Answer = One.ask(Id, Millis(500), 0, 1, n % 2 ? EntryA : EntryB);
-    BOOST_REQUIRE(Answer.has_value()); // Nobody waits: others have room.
+    const auto Answer =
+        Test.requestPlace(Id, Millis(500), 0, 1, n % 2 ? EntryA : EntryB);
+    BOOST_REQUIRE(Answer.has_value()); // Not queued: others may have capacity.
     if (!Answer->Given) {
       BOOST_CHECK(Answer->Why == ErrorKind::RateLimited);
       BOOST_TEST(Answer->RetryAfterMillis > 0U);
       continue;
     }
     ++Given;
-    One.done(Id);
+    Test.releasePlace(Id);
   }
   BOOST_TEST(Given >= 10U);
   BOOST_TEST(Given <= 13U);
 }
 
-// Guards against a cold back end that gets more places a second than it bears.
-BOOST_AUTO_TEST_CASE(PlacesKeepTheRateOfAColdBackEnd) {
-  OneAgent One;
-  One.limit(16);
-  One.Agent.ColdStartRate.PerSecond = 8;
-  One.Agent.ColdUntil = One.Now + Millis(3000);
+// Guards against an agent that exceeds the rate limit of a cold back end.
+BOOST_AUTO_TEST_CASE(GrantsStayWithinTheRateLimitOfAColdBackEnd) {
+  AgentFixture Test;
+  Test.setLimit(16);
+  Test.Agent.ColdStartRate.PerSecond = 8;
+  Test.Agent.ColdUntil = Test.Now + Millis(3000);
   const auto GivenInASecond = [&] {
-    const TimePoint End = One.Now + Millis(1000);
+    const TimePoint End = Test.Now + Millis(1000);
     int Given = 0;
-    for (; One.Now < End; One.Now += Millis(10)) {
-      const std::string Id = std::to_string(One.Now.time_since_epoch().count());
-      Given += One.ask(Id, Millis(500))->Given ? 1 : 0;
-      One.done(Id);
+    for (; Test.Now < End; Test.Now += Millis(10)) {
+      const std::string Id =
+          std::to_string(Test.Now.time_since_epoch().count());
+      Given += Test.requestPlace(Id, Millis(500))->Given ? 1 : 0;
+      Test.releasePlace(Id);
     }
     return Given;
   };
@@ -480,82 +503,82 @@
   BOOST_TEST(GivenInASecond() == 100);
 }
 
-// Guards against places that are given past the limit to those that waited
-// before it was named.
-BOOST_AUTO_TEST_CASE(WaitingPlacesKeepTheRateLimitToo) {
-  OneAgent One;
+// Guards against an agent that exceeds a rate limit with requests that were
+// queued before it knew the limit.
+BOOST_AUTO_TEST_CASE(QueuedRequestsStayWithinTheRateLimit) {
+  AgentFixture Test;
   for (const char *Id : {"a", "b", "c", "d"})
-    One.ask(Id, Millis(900));
-  handleRateNotice(One.Agent, {{}, {}, 0.3, 0}, One.Now, One.Out);
-  One.done("a");
-  BOOST_TEST(One.given("c"));
-  One.done("b");
-  BOOST_TEST(!One.given("d"));
+    Test.requestPlace(Id, Millis(900));
+  handleRateNotice(Test.Agent, {{}, {}, 0.3, 0}, Test.Now, Test.Out);
+  Test.releasePlace("a");
+  BOOST_TEST(Test.isGranted("c"));
+  Test.releasePlace("b");
+  BOOST_TEST(!Test.isGranted("d"));
 }
 
-// Guards against tokens that are lost with requests that were never sent.
-BOOST_AUTO_TEST_CASE(APlaceThatWasNotUsedCostsNothingOfTheRate) {
-  OneAgent One;
-  handleRateNotice(One.Agent, {{}, {}, 0.3, 0}, One.Now, One.Out);
-  BOOST_TEST(One.ask("a", Millis(500))->Given);
-  One.done("a", false, false);
-  BOOST_TEST(One.ask("b", Millis(500))->Given);
-  One.done("b", false, true);
-  BOOST_TEST(!One.ask("c", Millis(500))->Given);
+// Guards against requests that were never sent being counted against the limit.
+BOOST_AUTO_TEST_CASE(UnusedPlaceIsNotCountedAgainstTheRateLimit) {
+  AgentFixture Test;
+  handleRateNotice(Test.Agent, {{}, {}, 0.3, 0}, Test.Now, Test.Out);
+  BOOST_TEST(Test.requestPlace("a", Millis(500))->Given);
+  Test.releasePlace("a", false, false);
+  BOOST_TEST(Test.requestPlace("b", Millis(500))->Given);
+  Test.releasePlace("b", false, true);
+  BOOST_TEST(!Test.requestPlace("c", Millis(500))->Given);
 }
 
-// Guards against a limit that is lifted by an answer which was on its way when
-// it was named.
+// Guards against a limit being lifted by an answer to a request that was sent
+// before the limit was named.
 BOOST_AUTO_TEST_CASE(OnlyAnAnswerToALaterRequestLiftsTheRateLimit) {
-  OneAgent One;
-  BOOST_TEST(One.ask("early", Millis(500))->Given);
-  One.Now += Millis(100);
-  handleRateNotice(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
-  One.Now += Millis(900);
-  BOOST_TEST(One.ask("late", Millis(500))->Given);
-  handleRateNotice(One.Agent, {{"early"}, {}, {}, 1000}, One.Now, One.Out);
-  BOOST_TEST(One.Agent.Rate.PerSecond.has_value());
-  handleRateNotice(One.Agent, {{"unknown"}, {}, {}, 0}, One.Now, One.Out);
-  BOOST_TEST(One.Agent.Rate.PerSecond.has_value());
-  handleRateNotice(One.Agent, {{"late"}, {}, {}, 10}, One.Now, One.Out);
-  BOOST_TEST(!One.Agent.Rate.PerSecond.has_value());
+  AgentFixture Test;
+  BOOST_TEST(Test.requestPlace("early", Millis(500))->Given);
+  Test.Now += Millis(100);
+  handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
+  Test.Now += Millis(900);
+  BOOST_TEST(Test.requestPlace("late", Millis(500))->Given);
+  handleRateNotice(Test.Agent, {{"early"}, {}, {}, 1000}, Test.Now, Test.Out);
+  BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
+  handleRateNotice(Test.Agent, {{"unknown"}, {}, {}, 0}, Test.Now, Test.Out);
+  BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
+  handleRateNotice(Test.Agent, {{"late"}, {}, {}, 10}, Test.Now, Test.Out);
+  BOOST_TEST(!Test.Agent.Rate.PerSecond.has_value());
 }
 
-// Guards against a limit that holds for the next run of its back end, or that
-// ends with a report that could not be read.
-BOOST_AUTO_TEST_CASE(ARateLimitEndsWithTheRunOfItsBackEnd) {
-  OneAgent One;
+// Guards against a limit that outlasts a restart of its back end, or that is
+// lifted when a report could not be read.
+BOOST_AUTO_TEST_CASE(RateLimitEndsWhenTheBackEndRestarts) {
+  AgentFixture Test;
   const auto Report = [&](const char *Run) {
     EngineState State;
     State.Run = Run;
     State.Weights.Value = "m@1";
-    engineStateRead(One.Agent, {State, {}}, 0, One.Now, One.Out);
+    engineStateRead(Test.Agent, {State, {}}, 0, Test.Now, Test.Out);
   };
   Report("run 1");
-  handleRateNotice(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
-  engineStateRead(One.Agent, {std::nullopt, {ErrorKind::Unreachable, "", {}}},
-                  0, One.Now, One.Out);
+  handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
+  engineStateRead(Test.Agent, {std::nullopt, {ErrorKind::Unreachable, "", {}}},
+                  0, Test.Now, Test.Out);
   Report("run 1");
-  BOOST_TEST(One.Agent.Rate.PerSecond.has_value());
+  BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
   Report("run 2");
-  BOOST_TEST(!One.Agent.Rate.PerSecond.has_value());
+  BOOST_TEST(!Test.Agent.Rate.PerSecond.has_value());
 }
 
-// Guards against a limit that nobody lifts where reports name it: without
-// requests only they tell of its end.
-BOOST_AUTO_TEST_CASE(ReportsThatNamedARateLimitLiftIt) {
-  OneAgent One;
+// Guards against a limit that is never lifted: while there are no requests,
+// only reports show that it has ended.
+BOOST_AUTO_TEST_CASE(ReportWithoutTheRateLimitLiftsIt) {
+  AgentFixture Test;
   const auto Report = [&](std::optional<double> PerSecond) {
     EngineState State;
     State.Run = "run 1";
     State.PerSecond = PerSecond;
-    One.Now += Millis(200);
-    engineStateRead(One.Agent, {State, {}}, 0, One.Now, One.Out);
-    return One.Agent.Rate.PerSecond;
+    Test.Now += Millis(200);
+    engineStateRead(Test.Agent, {State, {}}, 0, Test.Now, Test.Out);
+    return Test.Agent.Rate.PerSecond;
   };
   Report({});
-  handleRateNotice(One.Agent, {{}, {}, 1.8, 0}, One.Now, One.Out);
-  BOOST_TEST(Report({}).has_value()); // Reports name none at all.
+  handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
+  BOOST_TEST(Report({}).has_value()); // Reports have not named one yet.
   BOOST_TEST(Report(1.8).has_value());
   BOOST_TEST(!Report({}).has_value());
 }
