--- a/packages/core/src/attempts/agent.cpp
+++ b/packages/core/src/attempts/agent.cpp
@@ -36,15 +36,16 @@
 
 namespace {
 
-/** Requests sent to a back end beyond its slots, so that the next one is there
- * when one ends; the slot would be idle for a network delay otherwise. */
+/** Requests allowed beyond the listed slots of a back end, so that the next one
+ * is there when one ends; the slot would be idle for a network delay otherwise.
+ */
 constexpr uint32_t SlotsAhead = 1;
 /** A longer gap between two ticks means that this process was paused. */
 constexpr Millis MaxTickGap{250};
 
 /** Gives the state of the back end as peers are told it. */
 WorkerState workerState(const AgentState &Agent) {
-  if (agentIsLeaving(Agent))
+  if (isAgentLeaving(Agent))
     return WorkerState::Leaving;
   const bool Model = !Agent.Config.EngineUrl.empty();
   if (!Agent.BackEndUp)
@@ -130,7 +131,7 @@
 
 /** Applies a new document: the version that this worker has to load, the peers
  * it links to, the back end's limits, and a shut-off failure domain. */
-void applyDocument(AgentState &Agent, TimePoint Now, Effects &Out) {
+void applyAgentDocument(AgentState &Agent, TimePoint Now, Effects &Out) {
   const Document &Doc = *Agent.View.InForce;
   const Worker *Self = findWorker(Doc, Agent.Fleet.Self.Name);
   if (Self != nullptr && !Self->Model.Value.empty()) {
@@ -153,7 +154,7 @@
 }
 
 /** Adds a peer that sent Hello to the exchange of chunks if it is an agent. */
-void addChunkPeer(AgentState &Agent, LinkId Link) {
+void registerChunkPeer(AgentState &Agent, LinkId Link) {
   const auto it = Agent.Fleet.Links.find(Link);
   if (it == Agent.Fleet.Links.end() || it->second.Peer.Sender != Role::Agent)
     return;
@@ -270,7 +271,7 @@
   chunkPeerGone(Agent.Transfer, Link, Now);
   detachAttempts(Agent, Link, Now);
   Effects None; // Dropped: the link is gone.
-  detachPlaces(Agent, Link, Now, None);
+  detachSlots(Agent, Link, Now, None);
 }
 
 void agentNoticePause(AgentState &Agent, TimePoint Now, Effects &Out) {
@@ -293,11 +294,11 @@
       fleetMessage(Agent.View, Agent.Fleet, Link, m, Now, Out);
   if (News == FleetNews::NewDocument) {
     keepPastList(Agent.Keys, Before, Now);
-    applyDocument(Agent, Now, Out);
+    applyAgentDocument(Agent, Now, Out);
     announceLoadChange(Agent, Now, Out);
   }
   if (std::holds_alternative<Hello>(m)) {
-    addChunkPeer(Agent, Link);
+    registerChunkPeer(Agent, Link);
     tellSuspects(Agent.Suspects, Link, Now, Out);
   }
   if (News != FleetNews::NotMine)
@@ -306,10 +307,10 @@
                           handleAttemptStart(Agent, Link, Start, Now, Out);
                         },
                         [&](const PlaceAsk &Ask) {
-                          handlePlaceRequest(Agent, Link, Ask, Now, Out);
+                          handleSlotRequest(Agent, Link, Ask, Now, Out);
                         },
                         [&](const PlaceDone &Done) {
-                          handlePlaceRelease(Agent, Done, Now, Out);
+                          handleSlotRelease(Agent, Done, Now, Out);
                           loadInTurn(Agent, Now, Out);
                         },
                         [&](const RateHeard &Heard) {
@@ -574,12 +575,12 @@
   if (WasFresh && !viewIsFresh(Agent.Fleet))
     refuseWaiting(Agent, ErrorKind::StaleView, Out);
   expireAttempts(Agent, Now, Out);
-  expirePlaces(Agent, Now, Out);
-  // Queued places may wait for prompts to be read, which ends without a
+  expireSlots(Agent, Now, Out);
+  // Queued slots may wait for prompts to be read, which ends without a
   // message.
-  if (!Agent.Places.empty() && Agent.Gate.Waiting.Size > 0)
+  if (!Agent.SlotsById.empty() && Agent.Gate.Waiting.Size > 0)
     startWaitingWork(Agent, Now, Out);
-  grantSparePlaces(Agent, Now, Out);
+  grantSpareSlots(Agent, Now, Out);
   expireKeys(Agent.Keys, Agent.Fleet.Self.Run, Now);
   requestMissingList(Agent, Now, Out);
   moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
--- a/packages/core/src/attempts/agent_func.h
+++ b/packages/core/src/attempts/agent_func.h
@@ -28,8 +28,8 @@
                      Effects &Out);
 
 /**
- * Removes a link that has closed. Its attempts and granted places are kept for
- * a while, its waiting place requests are dropped.
+ * Removes a link that has closed. Its attempts and granted slots are kept for
+ * a while, its waiting slot requests are dropped.
  * @param Agent State to change.
  * @param Link The link.
  * @param Now Current time.
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -49,12 +49,12 @@
 };
 
 /**
- * A place: permission for one request that an entry itself sends to the back
+ * A slot: permission for one request that an entry itself sends to the back
  * end. It counts against the concurrency limit while it is held.
  */
-struct Place {
+struct Slot {
   LinkId Link;             ///< Link of the entry that asked.
-  PlaceAsk RequestMessage; ///< The entry's request for this place.
+  PlaceAsk RequestMessage; ///< The entry's request for this slot.
   TimePoint RequestedAt;   ///< When it was requested.
   TimePoint GrantedAt;     ///< When it was granted; until then, when requested.
   TimePoint WaitUntil;     ///< Time limit for granting it.
@@ -65,9 +65,9 @@
 
 /** Counters of an agent, shown in metrics and status. */
 struct AgentCounters {
-  uint64_t Started = 0;   ///< Attempts sent to the back end and places granted.
-  uint64_t Completed = 0; ///< Those answered completely.
-  uint64_t KeyRepeats = 0;     ///< Repeats answered from a key's record.
+  uint64_t Started = 0;    ///< Attempts sent to the back end and slots granted.
+  uint64_t Completed = 0;  ///< Those answered completely.
+  uint64_t KeyRepeats = 0; ///< Repeats answered from a key's record.
   uint64_t RepeatedStarts = 0; ///< AttemptStart messages for a known attempt.
   std::map<ErrorKind, uint64_t> Refused; ///< Refused or failed ones.
 };
@@ -95,11 +95,11 @@
   std::string BackEndRun;       ///< Last known incarnation of the engine.
   Quarantine Suspects;          ///< Requests that ran when a back end died.
   std::map<AttemptId, Attempt> Attempts; ///< Queued and running attempts.
-  std::map<AttemptId, Place> Places;     ///< Requested and granted places.
-  std::deque<AttemptId> SpareQueue; ///< Places for late requests, in order.
-  TimePoint LastSpareRoomAt;        ///< When spare capacity was last seen.
-  EndedAttempts Ended;              ///< Attempts that ended recently.
-  KeyBook Keys;                     ///< Records of non-repeatable calls.
+  std::map<AttemptId, Slot> SlotsById;   ///< Requested and granted slots.
+  std::deque<AttemptId> SpareQueue;      ///< Slots for late requests, in order.
+  TimePoint LastSpareRoomAt;             ///< When spare capacity was last seen.
+  EndedAttempts Ended;                   ///< Attempts that ended recently.
+  KeyBook Keys;                          ///< Records of non-repeatable calls.
   ModelVersion PendingVersion; ///< Version whose chunk list is missing; may be
                                ///< empty.
   std::optional<ChunkList> UnconfirmedList; ///< Chunk list as first read.
--- a/packages/core/src/attempts/attempt.cpp
+++ b/packages/core/src/attempts/attempt.cpp
@@ -164,7 +164,7 @@
 /** Gives the reason why this agent cannot accept an attempt now, if any. */
 std::optional<ErrorKind> refusalReason(const AgentState &Agent,
                                        const AttemptStart &m) {
-  if (agentIsLeaving(Agent))
+  if (isAgentLeaving(Agent))
     return ErrorKind::Leaving;
   // A leaving entry only asks whether its key ran; nothing is to run for it.
   if (m.RemainingMillis == 0)
@@ -252,7 +252,7 @@
 
 } // namespace
 
-bool agentIsLeaving(const AgentState &Agent) {
+bool isAgentLeaving(const AgentState &Agent) {
   return Agent.Stopping ||
          isDeparting(Agent.Fleet, Agent.Fleet.Self.Name, Agent.Fleet.Self.Run);
 }
@@ -420,8 +420,8 @@
     const auto Next = nextToRun(Agent.Gate);
     if (!Next)
       return;
-    if (Agent.Places.contains(*Next)) {
-      grantOrRefusePlace(Agent, *Next, Now, Out);
+    if (Agent.SlotsById.contains(*Next)) {
+      grantOrRefuseSlot(Agent, *Next, Now, Out);
       continue;
     }
     Attempt &One = Agent.Attempts.at(*Next);
@@ -457,11 +457,11 @@
 void refuseWaiting(AgentState &Agent, ErrorKind Kind, Effects &Out) {
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
     stopWaiting(Agent.Gate, Which);
-    refusePlace(Agent, Which, {Kind, "", {}}, Out);
+    refuseSlot(Agent, Which, {Kind, "", {}}, Out);
     failAttempt(Agent, Which, {Kind, "", {}}, Ran::No, Out);
   }
   for (const AttemptId &Which : std::exchange(Agent.SpareQueue, {}))
-    refusePlace(Agent, Which, {Kind, "", {}}, Out);
+    refuseSlot(Agent, Which, {Kind, "", {}}, Out);
 }
 
 bool isMostlyStalled(const AgentState &Agent, TimePoint Now) {
@@ -480,7 +480,7 @@
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
     const auto it = Agent.Attempts.find(Which);
     if (it == Agent.Attempts.end() || Now < it->second.Deadline)
-      continue; // expirePlaces() handles places.
+      continue; // expireSlots() handles slots.
     stopWaiting(Agent.Gate, Which);
     failAttempt(Agent, Which, {ErrorKind::Deadline, "waited too long", {}},
                 Ran::No, Out);
--- a/packages/core/src/attempts/attempt_func.h
+++ b/packages/core/src/attempts/attempt_func.h
@@ -13,7 +13,7 @@
  * @return True after a stop signal, or while the list of hosts names it as
  *   leaving.
  */
-bool agentIsLeaving(const AgentState &Agent);
+bool isAgentLeaving(const AgentState &Agent);
 
 /**
  * Handles an entry's request for an attempt: sends it to the back end, queues
@@ -117,7 +117,7 @@
 void sendFrame(Attempt &One, const std::string &Data, Effects &Out);
 
 /**
- * Starts queued attempts and grants queued places while the limits allow.
+ * Starts queued attempts and grants queued slots while the limits allow.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
@@ -136,7 +136,7 @@
                     Effects &Out);
 
 /**
- * Refuses all queued attempts and places.
+ * Refuses all queued attempts and slots.
  * @param Agent State to change.
  * @param Kind Reason that entries are told.
  * @param Out Effects are appended.
--- a/packages/core/src/attempts/keyed_attempt.cpp
+++ b/packages/core/src/attempts/keyed_attempt.cpp
@@ -17,7 +17,7 @@
 KeyName keyNameOf(const AttemptStart &m) { return {m.Class, m.Tenant, m.Key}; }
 
 /** Describes a keyed call: key, home token and digest of the body. */
-KeyAsked keyCallOf(const AttemptStart &m) {
+KeyAsked keyedRequestOf(const AttemptStart &m) {
   return {keyNameOf(m), m.Token, sha256(m.Body)};
 }
 
@@ -73,9 +73,9 @@
               Ran::Unknown, Out);
 }
 
-/** Applies a verdict on a keyed call, other than to run it. */
-void applyVerdict(AgentState &Agent, const AttemptStart &Asked,
-                  const KeyVerdict &Verdict, Effects &Out) {
+/** Applies the decision on a keyed call, other than to run it. */
+void applyKeyDecision(AgentState &Agent, const AttemptStart &Asked,
+                      const KeyVerdict &Verdict, Effects &Out) {
   const auto End = [&](ErrorKind Kind, Ran Executed) {
     failAttempt(Agent, Asked.Attempt,
                 {Kind, Verdict.Detail, Verdict.RetryAfter}, Executed, Out);
@@ -107,19 +107,19 @@
   KeyVerdict Verdict{KeyChoice::Warming, Millis{0}, "no configuration yet"};
   if (Agent.View.InForce)
     Verdict = judgeKey(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
-                       keyCallOf(Asked), Now);
+                       keyedRequestOf(Asked), Now);
   if (Verdict.Choice == KeyChoice::Run && !Refusal)
     return false;
   Agent.Attempts[Asked.Attempt] = One;
   if (Verdict.Choice == KeyChoice::Run)
     refusePermanently(Agent, Asked, {*Refusal, "", {}}, Now, Out);
   else
-    applyVerdict(Agent, Asked, Verdict, Out);
+    applyKeyDecision(Agent, Asked, Verdict, Out);
   return true;
 }
 
 void recordKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now) {
-  openKey(Agent.Keys, *Agent.View.InForce, keyCallOf(Asked), Asked.Attempt,
+  openKey(Agent.Keys, *Agent.View.InForce, keyedRequestOf(Asked), Asked.Attempt,
           Now);
 }
 
--- a/packages/core/src/attempts/place.cpp
+++ b/packages/core/src/attempts/place.cpp
@@ -1,4 +1,4 @@
-/** @file place.cpp Places at a back end for requests that entries send. */
+/** @file place.cpp Slots at a back end for requests that entries send. */
 
 #include "attempts/place_func.h"
 
@@ -19,20 +19,20 @@
 /** Queue priority of rank 0; each later rank is one lower. */
 constexpr uint32_t RankZeroPriority = 100;
 /**
- * How long a place is held after its link was lost. A live entry ends its
+ * How long a slot is held after its link was lost. A live entry ends its
  * requests within that time or asks again. The back end ends the requests of a
  * dead entry, since their connections are closed.
  */
 constexpr Millis LostLinkTimeout{2000};
-/** How long a place is held when the entry does not release it. */
+/** How long a slot is held when the entry does not release it. */
 constexpr Millis MaxHeldTime{20000};
 
 /**
- * Places that late requests leave free for requests that can be on time: some
+ * Slots that late requests leave free for requests that can be on time: some
  * of these arrive before the next running request ends.
  */
-constexpr uint32_t ReservedPlaces = 3;
-/** At most one place in this many is reserved, for small back ends. */
+constexpr uint32_t ReservedSlots = 3;
+/** At most one slot in this many is reserved, for small back ends. */
 constexpr uint32_t ReservedDivisor = 4;
 /** Longest remaining prompt reading at which a late request delays no other. */
 constexpr Millis MaxSpareReading{5};
@@ -43,11 +43,11 @@
  * that usually run end. */
 constexpr size_t MaxSpareWaiting = 8;
 
-/** Answers a request for a place and logs the values that decided the answer.
- * @param Refusal Null when the place is granted. */
-void sendPlaceAnswer(const AgentState &Agent, LinkId Link,
-                     const PlaceAsk &Asked, const Failure *Refusal,
-                     Duration Waited, TimePoint Now, Effects &Out) {
+/** Answers a request for a slot and logs the values that decided the answer.
+ * @param Refusal Null when the slot is granted. */
+void sendSlotAnswer(const AgentState &Agent, LinkId Link, const PlaceAsk &Asked,
+                    const Failure *Refusal, Duration Waited, TimePoint Now,
+                    Effects &Out) {
   PlaceAnswer m;
   m.Place = Asked.Place;
   m.ReadingMillis =
@@ -79,12 +79,12 @@
                : "-")});
 }
 
-/** Refuses a request for a place that was not queued. */
+/** Refuses a request for a slot that was not queued. */
 void refuseRequest(const AgentState &Agent, LinkId Link, const PlaceAsk &m,
                    ErrorKind Kind, Millis RetryAfter, TimePoint Now,
                    Effects &Out) {
   const Failure Why{Kind, "", RetryAfter};
-  sendPlaceAnswer(Agent, Link, m, &Why, Duration{0}, Now, Out);
+  sendSlotAnswer(Agent, Link, m, &Why, Duration{0}, Now, Out);
 }
 
 /** Says whether newer weights were published too long ago for a request to
@@ -93,9 +93,9 @@
   return isTooOldToServe(Agent.Weights, formerWeightsTime(Agent.Config), Now);
 }
 
-/** Gives the reason why no place can be granted now, if any. */
+/** Gives the reason why no slot can be granted now, if any. */
 std::optional<ErrorKind> refusalReason(const AgentState &Agent, TimePoint Now) {
-  if (agentIsLeaving(Agent))
+  if (isAgentLeaving(Agent))
     return ErrorKind::Leaving;
   if (!Agent.BackEndUp)
     return ErrorKind::NoWorker;
@@ -115,7 +115,7 @@
 }
 
 /**
- * Gives how long a request may wait for a place and still have the first part
+ * Gives how long a request may wait for a slot and still have the first part
  * of its answer on time. A later grant makes it late, and those behind it too,
  * while fresh requests could still be on time.
  */
@@ -129,19 +129,19 @@
                     Longest);
 }
 
-/** Records a place that is queued or about to be granted. */
-void addPlace(AgentState &Agent, LinkId Link, const PlaceAsk &m,
-              Duration MayWait, TimePoint Now) {
-  Place One;
+/** Records a slot that is queued or about to be granted. */
+void addSlot(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+             Duration MayWait, TimePoint Now) {
+  Slot One;
   One.Link = Link;
   One.RequestMessage = m;
   One.RequestedAt = One.GrantedAt = Now;
   One.WaitUntil = Now + MayWait;
-  Agent.Places[m.Place] = One;
+  Agent.SlotsById[m.Place] = One;
 }
 
-/** Removes a place from the queue in which it waits. */
-void dequeuePlace(AgentState &Agent, const AttemptId &Which) {
+/** Removes a slot from the queue in which it waits. */
+void dequeueSlot(AgentState &Agent, const AttemptId &Which) {
   stopWaiting(Agent.Gate, Which);
   std::erase(Agent.SpareQueue, Which);
 }
@@ -149,7 +149,7 @@
 /** Says whether a late request can run now without delaying others. */
 bool hasSpareCapacity(AgentState &Agent, TimePoint Now) {
   const uint32_t Kept =
-      std::min(ReservedPlaces, Agent.Gate.Limit / ReservedDivisor);
+      std::min(ReservedSlots, Agent.Gate.Limit / ReservedDivisor);
   return runsAtOnce(Agent.Gate, Kept) && isWithinRateLimits(Agent, Now) &&
          readingLeft(Agent.Reading, Now) <= MaxSpareReading;
 }
@@ -158,7 +158,7 @@
  * is unlikely to become free while it waits. */
 void handleSpareRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
                         TimePoint Now, Effects &Out) {
-  grantSparePlaces(Agent, Now, Out);
+  grantSpareSlots(Agent, Now, Out);
   // In a lasting overload there is no spare capacity at all. A queued request
   // would only be refused later.
   const bool IsLasting = Now - Agent.LastSpareRoomAt > toDuration(m.WaitMillis);
@@ -167,9 +167,9 @@
                   timeToComeBack(Agent.Gate), Now, Out);
     return;
   }
-  addPlace(Agent, Link, m, toDuration(m.WaitMillis), Now);
+  addSlot(Agent, Link, m, toDuration(m.WaitMillis), Now);
   Agent.SpareQueue.push_back(m.Place);
-  grantSparePlaces(Agent, Now, Out);
+  grantSpareSlots(Agent, Now, Out);
 }
 
 /** Says whether the back end is too busy for a request that asks for an idle
@@ -180,7 +180,7 @@
           readingLeft(Agent.Reading, Now) > Millis(m.MostReadingMillis));
 }
 
-/** Describes a place to admission control: workspace, priority, time left. */
+/** Describes a slot to admission control: workspace, priority, time left. */
 Admittee admissionRequestOf(const AgentState &Agent, const PlaceAsk &m,
                             Duration MayWait) {
   Admittee One;
@@ -193,9 +193,9 @@
 
 } // namespace
 
-void handlePlaceRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
-                        TimePoint Now, Effects &Out) {
-  if (Agent.Places.contains(m.Place))
+void handleSlotRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+                       TimePoint Now, Effects &Out) {
+  if (Agent.SlotsById.contains(m.Place))
     return; // A repeat; the first answer counts.
   if (const auto Reason = refusalReason(Agent, Now)) {
     refuseRequest(Agent, Link, m, *Reason, Millis{0}, Now, Out);
@@ -224,19 +224,19 @@
       askToRun(Agent.Gate, admissionRequestOf(Agent, m, MayWait),
                mayRead(Agent.Reading, Now));
   if (Admitted.PushedOut)
-    refusePlace(Agent, *Admitted.PushedOut,
-                {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
+    refuseSlot(Agent, *Admitted.PushedOut,
+               {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
   if (Admitted.May == Admitted::Refuse) {
     refuseRequest(Agent, Link, m, ErrorKind::Overloaded, Admitted.RetryAfter,
                   Now, Out);
     return;
   }
-  addPlace(Agent, Link, m, MayWait, Now);
+  addSlot(Agent, Link, m, MayWait, Now);
   if (Admitted.May == Admitted::Run)
-    grantPlace(Agent, m.Place, Now, Out);
+    grantSlot(Agent, m.Place, Now, Out);
 }
 
-void grantSparePlaces(AgentState &Agent, TimePoint Now, Effects &Out) {
+void grantSpareSlots(AgentState &Agent, TimePoint Now, Effects &Out) {
   if (hasSpareCapacity(Agent, Now))
     Agent.LastSpareRoomAt = Now;
   while (!Agent.SpareQueue.empty() && hasSpareCapacity(Agent, Now)) {
@@ -245,58 +245,58 @@
     Admittee One;
     One.Who.Attempt = Which;
     askToRun(Agent.Gate, One); // Always admitted: there is spare capacity.
-    grantPlace(Agent, Which, Now, Out);
+    grantSlot(Agent, Which, Now, Out);
   }
 }
 
-void grantOrRefusePlace(AgentState &Agent, const AttemptId &Which,
-                        TimePoint Now, Effects &Out) {
-  const Place &One = Agent.Places.at(Which);
+void grantOrRefuseSlot(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+                       Effects &Out) {
+  const Slot &One = Agent.SlotsById.at(Which);
   // WaitUntil already allows for its own prompt, but not for those before it.
   if (Now + readingLeft(Agent.Reading, Now) <= One.WaitUntil) {
-    grantPlace(Agent, Which, Now, Out);
+    grantSlot(Agent, Which, Now, Out);
     return;
   }
   runEnded(Agent.Gate, Which, RunEnd::NotBegun, {});
-  refusePlace(Agent, Which,
-              {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
+  refuseSlot(Agent, Which,
+             {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
 }
 
-void grantPlace(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-                Effects &Out) {
-  Place &One = Agent.Places.at(Which);
+void grantSlot(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+               Effects &Out) {
+  Slot &One = Agent.SlotsById.at(Which);
   One.Granted = true;
   One.GrantedAt = Now;
   countBackEndRequest(Agent, Now);
   addReading(Agent.Reading, One.RequestMessage.PromptTokens, Now);
   One.ReadingAtGrant = readingLeft(Agent.Reading, Now);
   ++Agent.Counters.Started;
-  sendPlaceAnswer(Agent, One.Link, One.RequestMessage, nullptr,
-                  Now - One.RequestedAt, Now, Out);
+  sendSlotAnswer(Agent, One.Link, One.RequestMessage, nullptr,
+                 Now - One.RequestedAt, Now, Out);
 }
 
-void refusePlace(AgentState &Agent, const AttemptId &Which, const Failure &Why,
-                 Effects &Out) {
+void refuseSlot(AgentState &Agent, const AttemptId &Which, const Failure &Why,
+                Effects &Out) {
   const TimePoint Now = Agent.Fleet.LastTick;
-  const auto it = Agent.Places.find(Which);
-  if (it == Agent.Places.end())
+  const auto it = Agent.SlotsById.find(Which);
+  if (it == Agent.SlotsById.end())
     return;
   ++Agent.Counters.Refused[Why.Kind];
-  const Place &One = it->second;
-  sendPlaceAnswer(Agent, One.Link, One.RequestMessage, &Why,
-                  Now - One.RequestedAt, Now, Out);
-  Agent.Places.erase(it);
+  const Slot &One = it->second;
+  sendSlotAnswer(Agent, One.Link, One.RequestMessage, &Why,
+                 Now - One.RequestedAt, Now, Out);
+  Agent.SlotsById.erase(it);
 }
 
-void handlePlaceRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
-                        Effects &Out) {
-  const auto it = Agent.Places.find(m.Place);
-  if (it == Agent.Places.end())
+void handleSlotRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
+                       Effects &Out) {
+  const auto it = Agent.SlotsById.find(m.Place);
+  if (it == Agent.SlotsById.end())
     return;
-  const Place One = it->second;
-  Agent.Places.erase(it);
+  const Slot One = it->second;
+  Agent.SlotsById.erase(it);
   if (!One.Granted) {
-    dequeuePlace(Agent, m.Place);
+    dequeueSlot(Agent, m.Place);
     return;
   }
   if (m.FirstPartMillis > 0)
@@ -312,7 +312,7 @@
            Now - One.GrantedAt);
   Agent.Counters.Completed += m.Whole ? 1 : 0;
   startWaitingWork(Agent, Now, Out);
-  grantSparePlaces(Agent, Now, Out);
+  grantSpareSlots(Agent, Now, Out);
 }
 
 bool isWithinRateLimits(AgentState &Agent, TimePoint Now) {
@@ -335,8 +335,8 @@
                   Out);
     return;
   }
-  const auto it = Agent.Places.find(m.Place);
-  if (it != Agent.Places.end() && it->second.Granted)
+  const auto it = Agent.SlotsById.find(m.Place);
+  if (it != Agent.SlotsById.end() && it->second.Granted)
     logRateChange(Agent, rateNotNamed(Agent.Rate, it->second.GrantedAt),
                   "entry", Out);
 }
@@ -349,12 +349,12 @@
                               " per_second=" + rateText(Agent.Rate)});
 }
 
-void detachPlaces(AgentState &Agent, LinkId Link, TimePoint Now, Effects &) {
-  for (auto it = Agent.Places.begin(); it != Agent.Places.end();) {
-    Place &One = it->second;
+void detachSlots(AgentState &Agent, LinkId Link, TimePoint Now, Effects &) {
+  for (auto it = Agent.SlotsById.begin(); it != Agent.SlotsById.end();) {
+    Slot &One = it->second;
     if (One.Link == Link && !One.Granted) {
-      dequeuePlace(Agent, it->first);
-      it = Agent.Places.erase(it);
+      dequeueSlot(Agent, it->first);
+      it = Agent.SlotsById.erase(it);
       continue;
     }
     if (One.Link == Link && !One.LinkLostAt)
@@ -363,26 +363,26 @@
   }
 }
 
-void expirePlaces(AgentState &Agent, TimePoint Now, Effects &Out) {
+void expireSlots(AgentState &Agent, TimePoint Now, Effects &Out) {
   std::vector<AttemptId> Over;
-  for (const auto &[Which, One] : Agent.Places) {
+  for (const auto &[Which, One] : Agent.SlotsById) {
     const bool Lost =
         One.LinkLostAt && Now - *One.LinkLostAt >= LostLinkTimeout;
     if (One.Granted && (Lost || Now - One.GrantedAt >= MaxHeldTime))
       Over.push_back(Which);
   }
   for (const AttemptId &Which : Over)
-    handlePlaceRelease(Agent, {Which, false, true}, Now, Out);
+    handleSlotRelease(Agent, {Which, false, true}, Now, Out);
   if (hasOutdatedWeights(Agent, Now))
     refuseWaiting(Agent, ErrorKind::WeightsNotReady, Out);
   std::vector<AttemptId> Late;
-  for (const auto &[Which, One] : Agent.Places)
+  for (const auto &[Which, One] : Agent.SlotsById)
     if (!One.Granted && Now >= One.WaitUntil)
       Late.push_back(Which);
   for (const AttemptId &Which : Late) {
-    dequeuePlace(Agent, Which);
-    refusePlace(Agent, Which,
-                {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
+    dequeueSlot(Agent, Which);
+    refuseSlot(Agent, Which,
+               {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
   }
 }
 
--- a/packages/core/src/attempts/place_func.h
+++ b/packages/core/src/attempts/place_func.h
@@ -1,9 +1,9 @@
-/** @file place_func.h Places at a back end for requests that entries send.
+/** @file place_func.h Slots at a back end for requests that entries send.
  *
  * On a platform where entries send requests to back ends themselves, the agent
- * still bounds the load. A place is its permission to have one request at the
+ * still bounds the load. A slot is its permission to have one request at the
  * back end; an entry asks for one before it sends a request. Hundreds of
- * entries with outdated views can't bound the load between them: without places
+ * entries with outdated views can't bound the load between them: without slots
  * some back ends have queues while others are idle. The bytes of requests and
  * answers don't pass through the agent, since its network link is narrow and is
  * needed for weights.
@@ -18,7 +18,7 @@
 namespace jacinthpond {
 
 /**
- * Handles an entry's request for a place: grants it, queues it, or refuses it.
+ * Handles an entry's request for a slot: grants it, queues it, or refuses it.
  * A repeated request is ignored.
  * @param Agent State to change.
  * @param Link Link to the entry.
@@ -26,19 +26,19 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handlePlaceRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
-                        TimePoint Now, Effects &Out);
+void handleSlotRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+                       TimePoint Now, Effects &Out);
 
 /**
- * Releases a place whose request has ended, or withdraws one that is queued,
+ * Releases a slot whose request has ended, or withdraws one that is queued,
  * and starts queued work.
  * @param Agent State to change.
- * @param m The place and how its request ended.
+ * @param m The slot and how its request ended.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handlePlaceRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
-                        Effects &Out);
+void handleSlotRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
+                       Effects &Out);
 
 /**
  * Says whether the back end's rate limits allow one more request: its own
@@ -78,64 +78,64 @@
                    Effects &Out);
 
 /**
- * Grants places to queued late requests while there is spare capacity, so that
+ * Grants slots to queued late requests while there is spare capacity, so that
  * they delay no request that can still be on time. In an overload, retries
  * would otherwise make fresh requests late as well.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void grantSparePlaces(AgentState &Agent, TimePoint Now, Effects &Out);
+void grantSpareSlots(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
- * Grants a place that is next in the queue, or refuses it if its answer would
+ * Grants a slot that is next in the queue, or refuses it if its answer would
  * be late by now, so that the next one can be on time.
- * @param Agent State to change; the place counts as running already.
- * @param Which The place.
+ * @param Agent State to change; the slot counts as running already.
+ * @param Which The slot.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void grantOrRefusePlace(AgentState &Agent, const AttemptId &Which,
-                        TimePoint Now, Effects &Out);
+void grantOrRefuseSlot(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+                       Effects &Out);
 
 /**
- * Grants a place and counts its request as sent to the back end.
- * @param Agent State to change; the place counts as running already.
- * @param Which The place.
+ * Grants a slot and counts its request as sent to the back end.
+ * @param Agent State to change; the slot counts as running already.
+ * @param Which The slot.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void grantPlace(AgentState &Agent, const AttemptId &Which, TimePoint Now,
-                Effects &Out);
+void grantSlot(AgentState &Agent, const AttemptId &Which, TimePoint Now,
+               Effects &Out);
 
 /**
- * Refuses a place that waited and has been removed from its queue.
+ * Refuses a slot that waited and has been removed from its queue.
  * @param Agent State to change.
- * @param Which The place.
+ * @param Which The slot.
  * @param Why The refusal.
  * @param Out Effects are appended.
  */
-void refusePlace(AgentState &Agent, const AttemptId &Which, const Failure &Why,
-                 Effects &Out);
+void refuseSlot(AgentState &Agent, const AttemptId &Which, const Failure &Why,
+                Effects &Out);
 
 /**
- * Drops the queued places of a lost link. Granted ones are kept for a while,
+ * Drops the queued slots of a lost link. Granted ones are kept for a while,
  * since their requests may still run at the back end.
  * @param Agent State to change.
  * @param Link The lost link.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void detachPlaces(AgentState &Agent, LinkId Link, TimePoint Now, Effects &Out);
+void detachSlots(AgentState &Agent, LinkId Link, TimePoint Now, Effects &Out);
 
 /**
- * Releases granted places whose entry can no longer do so, and refuses queued
+ * Releases granted slots whose entry can no longer do so, and refuses queued
  * ones that have waited too long or whose weights are outdated.
  * @param Agent State to change.
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void expirePlaces(AgentState &Agent, TimePoint Now, Effects &Out);
+void expireSlots(AgentState &Agent, TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/tests/unit/place_test.cpp
+++ b/tests/unit/place_test.cpp
@@ -1,4 +1,4 @@
-/** @file place_test.cpp Tests of the places at a back end that its agent
+/** @file place_test.cpp Tests of the slots at a back end that its agent
  * grants.
  */
 // Labels: routes admission
@@ -40,17 +40,18 @@
   }
 
   /** Sets the concurrency limit. */
-  void setLimit(uint32_t Places) {
-    Agent.Gate.Limits = {Places, Places, 2, 8};
-    Agent.Gate.Limit = Places;
+  void setLimit(uint32_t Slots) {
+    Agent.Gate.Limits = {Slots, Slots, 2, 8};
+    Agent.Gate.Limit = Slots;
   }
 
-  /** Requests a place. Returns the answer, or nothing when the request waits.
+  /** Requests a slot. Returns the answer, or nothing when the request waits.
    */
-  std::optional<PlaceAnswer>
-  requestPlace(const std::string &Id, Millis Wait, uint32_t Prompt = 0,
-               uint32_t Rank = 1, LinkId Link = EntryA,
-               uint32_t MostReading = 0, bool Spare = false) {
+  std::optional<PlaceAnswer> requestSlot(const std::string &Id, Millis Wait,
+                                         uint32_t Prompt = 0, uint32_t Rank = 1,
+                                         LinkId Link = EntryA,
+                                         uint32_t MostReading = 0,
+                                         bool Spare = false) {
     Out.clear();
     PlaceAsk m;
     m.Place.Value = Id;
@@ -60,18 +61,17 @@
     m.PromptTokens = Prompt;
     m.MostReadingMillis = MostReading;
     m.Spare = Spare;
-    handlePlaceRequest(Agent, Link, m, Now, Out);
+    handleSlotRequest(Agent, Link, m, Now, Out);
     return lastAnswer(Id);
   }
 
-  /** Releases a place, or withdraws a request for one. */
-  void releasePlace(const std::string &Id, bool Whole = true,
-                    bool Sent = true) {
+  /** Releases a slot, or withdraws a request for one. */
+  void releaseSlot(const std::string &Id, bool Whole = true, bool Sent = true) {
     Out.clear();
-    handlePlaceRelease(Agent, {{Id}, Whole, Sent}, Now, Out);
+    handleSlotRelease(Agent, {{Id}, Whole, Sent}, Now, Out);
   }
 
-  /** Finds the answer to a request for a place in the latest effects. */
+  /** Finds the answer to a request for a slot in the latest effects. */
   std::optional<PlaceAnswer> lastAnswer(const std::string &Id) const {
     std::optional<PlaceAnswer> Found;
     for (const Effect &One : Out)
@@ -82,7 +82,7 @@
     return Found;
   }
 
-  /** Says whether the latest effects grant a place. */
+  /** Says whether the latest effects grant a slot. */
   bool isGranted(const std::string &Id) const {
     const auto Found = lastAnswer(Id);
     return Found && Found->Given;
@@ -95,12 +95,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(PlacesAreGrantedUpToTheLimitAndThenInTurn) {
+BOOST_AUTO_TEST_CASE(SlotsAreGrantedUpToTheLimitAndThenInTurn) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestPlace("a", Millis(500))->Given);
-  BOOST_TEST(Test.requestPlace("b", Millis(500))->Given);
-  BOOST_TEST(!Test.requestPlace("c", Millis(500)).has_value());
-  Test.releasePlace("a");
+  BOOST_TEST(Test.requestSlot("a", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("b", Millis(500))->Given);
+  BOOST_TEST(!Test.requestSlot("c", Millis(500)).has_value());
+  Test.releaseSlot("a");
   BOOST_TEST(Test.isGranted("c"));
 }
 
@@ -109,9 +109,9 @@
   // stream had to begin within 0.4 s waited in a queue of 0.6 s and made all
   // those behind it late too.
   AgentFixture Test;
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  const auto Answer = Test.requestPlace("c", Millis(10));
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  const auto Answer = Test.requestSlot("c", Millis(10));
   BOOST_REQUIRE(Answer.has_value());
   BOOST_TEST(!Answer->Given);
   BOOST_CHECK(Answer->Why == ErrorKind::Overloaded);
@@ -120,36 +120,36 @@
 
 BOOST_AUTO_TEST_CASE(RequestThatWaitedTooLongIsRefused) {
   AgentFixture Test;
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  Test.requestPlace("c", Millis(200));
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  Test.requestSlot("c", Millis(200));
   Test.Now += Millis(201);
   Test.Out.clear();
-  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  expireSlots(Test.Agent, Test.Now, Test.Out);
   BOOST_REQUIRE(Test.lastAnswer("c").has_value());
   BOOST_TEST(!Test.isGranted("c"));
-  Test.releasePlace("a");
+  Test.releaseSlot("a");
   BOOST_TEST(!Test.lastAnswer("c").has_value());
 }
 
 BOOST_AUTO_TEST_CASE(UrgentRequestsGoFirst) {
   AgentFixture Test;
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  Test.requestPlace("late", Millis(500), 0, 3);
-  Test.requestPlace("urgent", Millis(500), 0, 0);
-  Test.releasePlace("a");
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  Test.requestSlot("late", Millis(500), 0, 3);
+  Test.requestSlot("urgent", Millis(500), 0, 0);
+  Test.releaseSlot("a");
   BOOST_TEST(Test.isGranted("urgent"));
   BOOST_TEST(!Test.isGranted("late"));
 }
 
-BOOST_AUTO_TEST_CASE(NextPlaceWaitsUntilPromptsAreRead) {
+BOOST_AUTO_TEST_CASE(NextSlotWaitsUntilPromptsAreRead) {
   // Guards against several long prompts at once. Three of them made all answers
   // of a worker pause for half a second, which made these late.
   AgentFixture Test;
   Test.Agent.Reading.TokensPerSecond = 10000;
-  BOOST_TEST(Test.requestPlace("a", Millis(500), 3000)->Given);
-  BOOST_TEST(!Test.requestPlace("b", Millis(500), 3000).has_value());
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 3000)->Given);
+  BOOST_TEST(!Test.requestSlot("b", Millis(500), 3000).has_value());
   Test.Now += Millis(100);
   Test.Out.clear();
   agentTick(Test.Agent, Test.Now, Test.Out);
@@ -163,23 +163,23 @@
 BOOST_AUTO_TEST_CASE(AnswerContainsRemainingReadingTime) {
   AgentFixture Test;
   Test.Agent.Reading.TokensPerSecond = 10000;
-  BOOST_TEST(Test.requestPlace("a", Millis(500), 500)->ReadingMillis == 50U);
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 500)->ReadingMillis == 50U);
 }
 
-BOOST_AUTO_TEST_CASE(PlacesOfADeadEntryAreReleased) {
-  // Guards against places that are never released. An entry was killed while it
-  // held all places of a worker, and the agent granted none from then on.
+BOOST_AUTO_TEST_CASE(SlotsOfADeadEntryAreReleased) {
+  // Guards against slots that are never released. An entry was killed while it
+  // held all slots of a worker, and the agent granted none from then on.
   AgentFixture Test;
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  detachPlaces(Test.Agent, EntryA, Test.Now, Test.Out);
-  Test.requestPlace("c", Millis(5000), 0, 1, EntryB);
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  detachSlots(Test.Agent, EntryA, Test.Now, Test.Out);
+  Test.requestSlot("c", Millis(5000), 0, 1, EntryB);
   Test.Now += Millis(1900);
   Test.Out.clear();
-  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  expireSlots(Test.Agent, Test.Now, Test.Out);
   BOOST_TEST(!Test.isGranted("c"));
   Test.Now += Millis(200);
-  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  expireSlots(Test.Agent, Test.Now, Test.Out);
   // The engine may still run the requests until its report says otherwise.
   EngineState Idle;
   Idle.Run = "run 1";
@@ -190,30 +190,30 @@
 
 BOOST_AUTO_TEST_CASE(WithdrawnRequestIsSkipped) {
   AgentFixture Test;
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  Test.requestPlace("c", Millis(500));
-  Test.requestPlace("d", Millis(500));
-  Test.releasePlace("c", false, false);
-  Test.releasePlace("a");
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  Test.requestSlot("c", Millis(500));
+  Test.requestSlot("d", Millis(500));
+  Test.releaseSlot("c", false, false);
+  Test.releaseSlot("a");
   BOOST_TEST(Test.isGranted("d"));
 }
 
-BOOST_AUTO_TEST_CASE(LoadingWorkerRefusesPlaces) {
+BOOST_AUTO_TEST_CASE(LoadingWorkerRefusesSlots) {
   AgentFixture Test;
   Test.Agent.Weights.Draining = true;
-  BOOST_CHECK(Test.requestPlace("a", Millis(500))->Why ==
+  BOOST_CHECK(Test.requestSlot("a", Millis(500))->Why ==
               ErrorKind::WeightsNotReady);
   Test.Agent.Weights.Draining = false;
   Test.Agent.Weights.EngineBusy = true;
-  BOOST_CHECK(Test.requestPlace("b", Millis(500))->Why ==
+  BOOST_CHECK(Test.requestSlot("b", Millis(500))->Why ==
               ErrorKind::WeightsNotReady);
 }
 
 BOOST_AUTO_TEST_CASE(RepeatedRequestCountsOnce) {
   AgentFixture Test;
-  Test.requestPlace("a", Millis(500));
-  BOOST_TEST(!Test.requestPlace("a", Millis(500)).has_value());
+  Test.requestSlot("a", Millis(500));
+  BOOST_TEST(!Test.requestSlot("a", Millis(500)).has_value());
   BOOST_TEST(Test.Agent.Gate.Running == 1U);
 }
 
@@ -222,84 +222,84 @@
 BOOST_AUTO_TEST_CASE(BusyBackEndRefusesRequestForIdleOne) {
   AgentFixture Test;
   Test.Agent.Reading.TokensPerSecond = 1000;
-  BOOST_TEST(Test.requestPlace("a", Millis(500), 50, 1, EntryA, 20)->Given);
-  const auto Refused = Test.requestPlace("b", Millis(500), 50, 1, EntryA, 20);
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 50, 1, EntryA, 20)->Given);
+  const auto Refused = Test.requestSlot("b", Millis(500), 50, 1, EntryA, 20);
   BOOST_TEST(!Refused->Given);
   BOOST_TEST((Refused->Why == ErrorKind::Overloaded));
   BOOST_TEST(Refused->ReadingMillis == 50);
-  BOOST_TEST(Test.requestPlace("c", Millis(500), 50, 1, EntryA, 60)->Given);
-  BOOST_TEST(!Test.requestPlace("d", Millis(500))
+  BOOST_TEST(Test.requestSlot("c", Millis(500), 50, 1, EntryA, 60)->Given);
+  BOOST_TEST(!Test.requestSlot("d", Millis(500))
                   .has_value()); // Queued: the limit is two.
-  BOOST_TEST(!Test.requestPlace("e", Millis(500), 0, 1, EntryA, 1000)->Given);
+  BOOST_TEST(!Test.requestSlot("e", Millis(500), 0, 1, EntryA, 1000)->Given);
 }
 
 // Guards against an overload in which no request is on time any more: a retry
-// of a late request takes a place, which makes a fresh request late and leads
+// of a late request takes a slot, which makes a fresh request late and leads
 // to its retry. Late requests get only capacity that fresh ones don't need.
 BOOST_AUTO_TEST_CASE(LateRequestsGetOnlySpareCapacity) {
   AgentFixture Test;
   Test.setLimit(16);
-  const auto RequestLatePlace = [&](const std::string &Id) {
-    return Test.requestPlace(Id, Millis(1000), 0, 1, EntryA, 0, true);
+  const auto RequestLateSlot = [&](const std::string &Id) {
+    return Test.requestSlot(Id, Millis(1000), 0, 1, EntryA, 0, true);
   };
   for (int n = 0; n < 12; ++n)
-    BOOST_TEST(Test.requestPlace("a" + std::to_string(n), Millis(100))->Given);
-  BOOST_TEST(RequestLatePlace("late 1")->Given); // Three places stay reserved.
-  BOOST_TEST(!RequestLatePlace("late 2").has_value());
-  BOOST_TEST(Test.requestPlace("b", Millis(100), 0, 1, EntryA, 60)->Given);
-  Test.releasePlace("a0");
+    BOOST_TEST(Test.requestSlot("a" + std::to_string(n), Millis(100))->Given);
+  BOOST_TEST(RequestLateSlot("late 1")->Given); // Three slots stay reserved.
+  BOOST_TEST(!RequestLateSlot("late 2").has_value());
+  BOOST_TEST(Test.requestSlot("b", Millis(100), 0, 1, EntryA, 60)->Given);
+  Test.releaseSlot("a0");
   BOOST_TEST(!Test.isGranted("late 2"));
-  Test.releasePlace("a1");
+  Test.releaseSlot("a1");
   BOOST_TEST(Test.isGranted("late 2"));
 }
 
-// Guards against a back end with few places reserving all of them.
+// Guards against a back end with few slots reserving all of them.
 BOOST_AUTO_TEST_CASE(SmallIdleBackEndAcceptsLateRequests) {
   AgentFixture Test;
   BOOST_TEST(
-      Test.requestPlace("late", Millis(1000), 0, 1, EntryA, 0, true)->Given);
+      Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)->Given);
 }
 
 BOOST_AUTO_TEST_CASE(LateRequestIsRefusedAfterItsWait) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestPlace("a", Millis(100))->Given);
-  BOOST_TEST(Test.requestPlace("b", Millis(100))->Given);
-  BOOST_TEST(!Test.requestPlace("late", Millis(1000), 0, 1, EntryA, 0, true)
+  BOOST_TEST(Test.requestSlot("a", Millis(100))->Given);
+  BOOST_TEST(Test.requestSlot("b", Millis(100))->Given);
+  BOOST_TEST(!Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)
                   .has_value());
   Test.Now += Millis(1000);
   Test.Out.clear();
-  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  expireSlots(Test.Agent, Test.Now, Test.Out);
   BOOST_TEST(!Test.lastAnswer("late")->Given);
   BOOST_TEST(Test.Agent.SpareQueue.empty());
-  BOOST_TEST(Test.Agent.Places.size() == 2U);
+  BOOST_TEST(Test.Agent.SlotsById.size() == 2U);
 }
 
 // Guards against requests that wait for spare capacity being forgotten when the
 // agent stops.
 BOOST_AUTO_TEST_CASE(LateRequestsAreRefusedWhenTheAgentStops) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestPlace("a", Millis(100))->Given);
-  BOOST_TEST(Test.requestPlace("b", Millis(100))->Given);
-  BOOST_TEST(!Test.requestPlace("late", Millis(1000), 0, 1, EntryA, 0, true)
+  BOOST_TEST(Test.requestSlot("a", Millis(100))->Given);
+  BOOST_TEST(Test.requestSlot("b", Millis(100))->Given);
+  BOOST_TEST(!Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)
                   .has_value());
   Test.Out.clear();
   agentStop(Test.Agent, Test.Now, Test.Out);
   BOOST_TEST((Test.lastAnswer("late")->Why == ErrorKind::Leaving));
-  BOOST_TEST(Test.Agent.Places.size() == 2U);
+  BOOST_TEST(Test.Agent.SlotsById.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(NoPlaceIsGrantedOnOutdatedWeights) {
+BOOST_AUTO_TEST_CASE(NoSlotIsGrantedOnOutdatedWeights) {
   // Guards against outdated weights being used for an entry with an outdated
   // view. After a pause, an entry sent requests to a worker with the previous
   // version; its agent had known of the new one for nine seconds and granted
-  // every place.
+  // every slot.
   AgentFixture Test;
   Test.Agent.Config.WeightsChangeMillis = 8000;
   Test.Agent.Weights.AtEngine = true;
   noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
-  BOOST_TEST(Test.requestPlace("soon", Millis(0))->Given);
+  BOOST_TEST(Test.requestSlot("soon", Millis(0))->Given);
   Test.Now += Millis(8000);
-  const auto Late = Test.requestPlace("late", Millis(0));
+  const auto Late = Test.requestSlot("late", Millis(0));
   BOOST_REQUIRE(Late);
   BOOST_TEST(!Late->Given);
   BOOST_CHECK(Late->Why == ErrorKind::WeightsNotReady);
@@ -311,17 +311,17 @@
   Test.Agent.Weights.AtEngine = true;
   noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
   Test.Now += Millis(6700);
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  BOOST_TEST(!Test.requestPlace("c", Millis(500)).has_value());
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  BOOST_TEST(!Test.requestSlot("c", Millis(500)).has_value());
   Test.Now += Millis(100);
-  expirePlaces(Test.Agent, Test.Now, Test.Out);
+  expireSlots(Test.Agent, Test.Now, Test.Out);
   const auto Answer = Test.lastAnswer("c");
   BOOST_REQUIRE(Answer);
   BOOST_CHECK(Answer->Why == ErrorKind::WeightsNotReady);
 }
 
-/** Builds a request for a place with a target time for its first part. */
+/** Builds a request for a slot with a target time for its first part. */
 PlaceAsk requestWithTarget(const std::string &Id, Millis Time,
                            uint32_t Prompt) {
   PlaceAsk m;
@@ -341,21 +341,21 @@
   Test.Agent.Reading.TokensPerSecond = 10000;
   for (int n = 0; n < 50; ++n)
     firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
   Test.Out.clear();
   // 220 ms, and 150 ms for its own prompt, leave almost no time to wait.
-  handlePlaceRequest(Test.Agent, EntryA,
-                     requestWithTarget("long", Millis(380), 1500), Test.Now,
-                     Test.Out);
+  handleSlotRequest(Test.Agent, EntryA,
+                    requestWithTarget("long", Millis(380), 1500), Test.Now,
+                    Test.Out);
   BOOST_REQUIRE(Test.lastAnswer("long"));
   BOOST_TEST(!Test.isGranted("long"));
   Test.Out.clear();
-  handlePlaceRequest(Test.Agent, EntryA,
-                     requestWithTarget("short", Millis(380), 100), Test.Now,
-                     Test.Out);
+  handleSlotRequest(Test.Agent, EntryA,
+                    requestWithTarget("short", Millis(380), 100), Test.Now,
+                    Test.Out);
   BOOST_TEST(!Test.lastAnswer("short")); // May wait for 150 ms.
-  Test.releasePlace("a");
+  Test.releaseSlot("a");
   BOOST_TEST(Test.isGranted("short"));
 }
 
@@ -363,53 +363,53 @@
   AgentFixture Test;
   for (int n = 0; n < 50; ++n)
     firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
-  Test.requestPlace("a", Millis(500));
-  Test.requestPlace("b", Millis(500));
-  handlePlaceRequest(Test.Agent, EntryA, requestWithTarget("c", Millis(380), 0),
-                     Test.Now, Test.Out);
+  Test.requestSlot("a", Millis(500));
+  Test.requestSlot("b", Millis(500));
+  handleSlotRequest(Test.Agent, EntryA, requestWithTarget("c", Millis(380), 0),
+                    Test.Now, Test.Out);
   Test.Now += Millis(170); // With 220 ms more it would be late.
-  Test.releasePlace("a");
+  Test.releaseSlot("a");
   BOOST_REQUIRE(Test.lastAnswer("c"));
   BOOST_TEST(!Test.isGranted("c"));
   BOOST_TEST(Test.Agent.Gate.Running == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(FreePlaceIsGrantedEvenIfTheAnswerWillBeLate) {
+BOOST_AUTO_TEST_CASE(FreeSlotIsGrantedEvenIfTheAnswerWillBeLate) {
   // The target time of a route may be shorter than its back ends ever achieve.
   // A late answer is better than none while no other request is delayed.
   AgentFixture Test;
   for (int n = 0; n < 50; ++n)
     firstPartSeen(Test.Agent.FirstPart, Millis(900), Millis(0));
-  handlePlaceRequest(Test.Agent, EntryA, requestWithTarget("a", Millis(380), 0),
-                     Test.Now, Test.Out);
+  handleSlotRequest(Test.Agent, EntryA, requestWithTarget("a", Millis(380), 0),
+                    Test.Now, Test.Out);
   BOOST_TEST(Test.isGranted("a"));
 }
 
 BOOST_AUTO_TEST_CASE(LateRequestsAreRefusedAtOnceInALastingOverload) {
-  // Guards against queueing late requests in vain. While all places were taken
+  // Guards against queueing late requests in vain. While all slots were taken
   // for half a minute, 1,057 of 1,078 late requests that were queued for spare
   // capacity were refused only after up to 3 s.
   AgentFixture Test;
-  BOOST_TEST(Test.requestPlace("a", Millis(100))->Given);
-  BOOST_TEST(Test.requestPlace("b", Millis(100))->Given);
-  const auto RequestLatePlace = [&](const std::string &Id) {
-    return Test.requestPlace(Id, Millis(1000), 0, 1, EntryA, 0, true);
+  BOOST_TEST(Test.requestSlot("a", Millis(100))->Given);
+  BOOST_TEST(Test.requestSlot("b", Millis(100))->Given);
+  const auto RequestLateSlot = [&](const std::string &Id) {
+    return Test.requestSlot(Id, Millis(1000), 0, 1, EntryA, 0, true);
   };
   BOOST_TEST(
-      !RequestLatePlace("late 1").has_value()); // There was capacity until now.
+      !RequestLateSlot("late 1").has_value()); // There was capacity until now.
   Test.Now += Millis(1001);
-  expirePlaces(Test.Agent, Test.Now, Test.Out);
-  const auto Refused = RequestLatePlace("late 2");
+  expireSlots(Test.Agent, Test.Now, Test.Out);
+  const auto Refused = RequestLateSlot("late 2");
   BOOST_REQUIRE(Refused);
   BOOST_TEST(!Refused->Given);
-  Test.releasePlace("a");
-  BOOST_TEST(RequestLatePlace("late 3")->Given);
+  Test.releaseSlot("a");
+  BOOST_TEST(RequestLateSlot("late 3")->Given);
 }
 
 BOOST_AUTO_TEST_CASE(ListedSlotsReplaceTheLimitsFromTheSettings) {
   // Guards against the cold limit of the settings staying in force. Workers of
-  // 15 slots got two requests at a time, since 16 places happened to equal the
-  // warm limit of the settings.
+  // 15 slots got two requests at a time, since their limit of 16 happened to
+  // equal the warm limit of the settings.
   Settings Config;
   Config.Name = "10.0.0.1:9";
   Config.Platform = "store";
@@ -442,7 +442,7 @@
 BOOST_AUTO_TEST_CASE(FullAgentAnswersPingAtOnce) {
   AgentFixture Test;
   Test.setLimit(1);
-  BOOST_TEST(Test.requestPlace("a", Millis(0))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(0))->Given);
   Test.Agent.Fleet.Links[EntryA].State = LinkState::Ready;
   Test.Out.clear();
   agentMessage(Test.Agent, EntryA, Ping{3}, Test.Now, Test.Out);
@@ -452,7 +452,7 @@
   BOOST_TEST(std::get<Pong>(Sent.Content).Sequence == 3U);
 }
 
-// Guards against an agent that grants more places than the back end's own rate
+// Guards against an agent that grants more slots than the back end's own rate
 // limit allows, however many entries request them.
 BOOST_AUTO_TEST_CASE(GrantsStayWithinTheRateLimitOfTheBackEnd) {
   AgentFixture Test;
@@ -464,7 +464,7 @@
        ++n, Test.Now += Millis(20)) {
     const std::string Id = std::to_string(n);
     const auto Answer =
-        Test.requestPlace(Id, Millis(500), 0, 1, n % 2 ? EntryA : EntryB);
+        Test.requestSlot(Id, Millis(500), 0, 1, n % 2 ? EntryA : EntryB);
     BOOST_REQUIRE(Answer.has_value()); // Not queued: others may have capacity.
     if (!Answer->Given) {
       BOOST_CHECK(Answer->Why == ErrorKind::RateLimited);
@@ -472,7 +472,7 @@
       continue;
     }
     ++Given;
-    Test.releasePlace(Id);
+    Test.releaseSlot(Id);
   }
   BOOST_TEST(Given >= 10U);
   BOOST_TEST(Given <= 13U);
@@ -490,8 +490,8 @@
     for (; Test.Now < End; Test.Now += Millis(10)) {
       const std::string Id =
           std::to_string(Test.Now.time_since_epoch().count());
-      Given += Test.requestPlace(Id, Millis(500))->Given ? 1 : 0;
-      Test.releasePlace(Id);
+      Given += Test.requestSlot(Id, Millis(500))->Given ? 1 : 0;
+      Test.releaseSlot(Id);
     }
     return Given;
   };
@@ -508,34 +508,34 @@
 BOOST_AUTO_TEST_CASE(QueuedRequestsStayWithinTheRateLimit) {
   AgentFixture Test;
   for (const char *Id : {"a", "b", "c", "d"})
-    Test.requestPlace(Id, Millis(900));
+    Test.requestSlot(Id, Millis(900));
   handleRateNotice(Test.Agent, {{}, {}, 0.3, 0}, Test.Now, Test.Out);
-  Test.releasePlace("a");
+  Test.releaseSlot("a");
   BOOST_TEST(Test.isGranted("c"));
-  Test.releasePlace("b");
+  Test.releaseSlot("b");
   BOOST_TEST(!Test.isGranted("d"));
 }
 
 // Guards against requests that were never sent being counted against the limit.
-BOOST_AUTO_TEST_CASE(UnusedPlaceIsNotCountedAgainstTheRateLimit) {
+BOOST_AUTO_TEST_CASE(UnusedSlotIsNotCountedAgainstTheRateLimit) {
   AgentFixture Test;
   handleRateNotice(Test.Agent, {{}, {}, 0.3, 0}, Test.Now, Test.Out);
-  BOOST_TEST(Test.requestPlace("a", Millis(500))->Given);
-  Test.releasePlace("a", false, false);
-  BOOST_TEST(Test.requestPlace("b", Millis(500))->Given);
-  Test.releasePlace("b", false, true);
-  BOOST_TEST(!Test.requestPlace("c", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(500))->Given);
+  Test.releaseSlot("a", false, false);
+  BOOST_TEST(Test.requestSlot("b", Millis(500))->Given);
+  Test.releaseSlot("b", false, true);
+  BOOST_TEST(!Test.requestSlot("c", Millis(500))->Given);
 }
 
 // Guards against a limit being lifted by an answer to a request that was sent
 // before the limit was named.
 BOOST_AUTO_TEST_CASE(OnlyAnAnswerToALaterRequestLiftsTheRateLimit) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestPlace("early", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("early", Millis(500))->Given);
   Test.Now += Millis(100);
   handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
   Test.Now += Millis(900);
-  BOOST_TEST(Test.requestPlace("late", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("late", Millis(500))->Given);
   handleRateNotice(Test.Agent, {{"early"}, {}, {}, 1000}, Test.Now, Test.Out);
   BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
   handleRateNotice(Test.Agent, {{"unknown"}, {}, {}, 0}, Test.Now, Test.Out);
