--- a/packages/entry/src/admin_api.cpp
+++ b/packages/entry/src/admin_api.cpp
@@ -25,11 +25,12 @@
 
 namespace {
 
+/** Label values of the causes, in the order of AccessRefusal. */
 constexpr std::array<const char *, static_cast<size_t>(AccessRefusal::Count)>
     AccessRefusalNames = {"no_token", "wrong_token", "other_team"};
 
-/** What a health check may know without a token. */
-Json healthOf(const EntryState &Entry) {
+/** Builds the answer of /v1/health; it holds only what needs no token. */
+Json healthJson(const EntryState &Entry) {
   const auto Ready =
       std::ranges::count_if(Entry.Fleet.Links, [](const auto &Row) {
         const PeerLink &Link = Row.second;
@@ -52,22 +53,25 @@
           {"open_calls", Entry.Calls.size()}};
 }
 
-void reply(httplib::Response &Answer, const Json &Body) {
-  Answer.set_content(Body.dump(-1, ' ', false, Json::error_handler_t::replace),
-                     "application/json");
+/** Answers with JSON; replaces bytes that are not valid UTF-8. */
+void sendJson(httplib::Response &Res, const Json &Body) {
+  Res.set_content(Body.dump(-1, ' ', false, Json::error_handler_t::replace),
+                  "application/json");
 }
 
-/** Narrows a view to the class or tenant that the reader named. */
-Result<TeamAccess> narrow(TeamAccess Access, const httplib::Request &Asked) {
-  if (Asked.has_param("class")) {
-    const ClassName Class{Asked.get_param_value("class")};
+/** Restricts the access to the class and the workspace in the query, if any.
+ * @return The access; Forbidden for those of another team. */
+Result<TeamAccess> narrowAccess(TeamAccess Access,
+                                const httplib::Request &Req) {
+  if (Req.has_param("class")) {
+    const ClassName Class{Req.get_param_value("class")};
     if (!seesClass(Access, Class))
       return fail(ErrorKind::Forbidden, "class of another team");
     Access.Operator = false;
     Access.Classes = {Class};
   }
-  if (Asked.has_param("tenant")) {
-    const TenantName Tenant{Asked.get_param_value("tenant")};
+  if (Req.has_param("tenant")) {
+    const TenantName Tenant{Req.get_param_value("tenant")};
     if (!seesTenant(Access, Tenant))
       return fail(ErrorKind::Forbidden, "tenant of another team");
     Access.Tenants = {Tenant};
@@ -77,128 +81,130 @@
 
 } // namespace
 
-AdminApi::AdminApi(const Settings &Config, EntryShell &Host)
-    : At(Config.AdminListen), Host(Host),
+AdminApi::AdminApi(const Settings &Config, EntryShell &Shell)
+    : ListenAddress(Config.AdminListen), Shell(Shell),
       Server(std::make_unique<GuardedServer>(adminLimits())) {
-  addOpenPaths();
-  addView("/v1/status", statusJson, false);
-  addView("/v1/domains", domainsJson, false);
-  addView("/v1/workers", workersJson, false);
-  // Both tell of hosts and faults of all teams.
-  addView("/v1/config", configJson, true);
-  addView("/v1/refusals", refusalsJson, true);
-  addCheck();
+  addPublicPaths();
+  addStatusPath("/v1/status", statusJson, false);
+  addStatusPath("/v1/domains", domainsJson, false);
+  addStatusPath("/v1/workers", workersJson, false);
+  // Both show hosts and errors of all teams.
+  addStatusPath("/v1/config", configJson, true);
+  addStatusPath("/v1/refusals", refusalsJson, true);
+  addCheckPath();
 }
 
-void AdminApi::addOpenPaths() {
-  Server->Get("/v1/health", [this](const auto &, auto &Answer) {
+void AdminApi::addPublicPaths() {
+  Server->Get("/v1/health", [this](const auto &, auto &Res) {
     Json Body;
-    Host.inspect(
-        [&](const EntryState &Entry, TimePoint) { Body = healthOf(Entry); });
-    reply(Answer, Body);
+    Shell.inspect(
+        [&](const EntryState &Entry, TimePoint) { Body = healthJson(Entry); });
+    sendJson(Res, Body);
   });
-  Server->Get("/metrics", [this](const auto &Asked, auto &Answer) {
-    MetricFamilies All = Host.timings().collect();
-    Host.inspect([&](const EntryState &Entry, TimePoint Now) {
-      std::ranges::move(entryFamilies(Entry, Now), std::back_inserter(All));
+  Server->Get("/metrics", [this](const auto &Req, auto &Res) {
+    MetricFamilies All = Shell.timings().collect();
+    Shell.inspect([&](const EntryState &Entry, TimePoint Now) {
+      std::ranges::move(entryMetrics(Entry, Now), std::back_inserter(All));
     });
-    addRefusals(All);
-    if (const Forwarder *Routes = Host.routes())
-      std::ranges::move(routeFamilies(*Routes), std::back_inserter(All));
-    const DocumentPtr Doc = Host.document();
-    Answer.set_content(
-        metricsText(
-            visibleTo(All, Doc.get(), Asked.get_header_value("Authorization"))),
-        "text/plain; version=0.0.4");
+    addRefusalCounts(All);
+    if (const Forwarder *Routes = Shell.routes())
+      std::ranges::move(routeMetrics(*Routes), std::back_inserter(All));
+    const DocumentPtr Doc = Shell.document();
+    Res.set_content(metricsText(visibleTo(
+                        All, Doc.get(), Req.get_header_value("Authorization"))),
+                    "text/plain; version=0.0.4");
   });
 }
 
-void AdminApi::addView(const char *Path, View Show, bool OperatorsOnly) {
-  Server->Get(Path, forTeam(Path, OperatorsOnly,
-                            [this, Show](const TeamAccess &Access, const auto &,
-                                         auto &Answer) {
-                              FleetStatus Status;
-                              Host.inspect(
-                                  [&](const EntryState &Entry, TimePoint Now) {
-                                    Status = fleetStatus(Entry, Access, Now);
-                                  });
-                              reply(Answer, Show(Status));
-                            }));
+void AdminApi::addStatusPath(const char *Path, StatusFormat Format,
+                             bool OperatorsOnly) {
+  Server->Get(Path, requireAccess(Path, OperatorsOnly,
+                                  [this, Format](const TeamAccess &Access,
+                                                 const auto &, auto &Res) {
+                                    FleetStatus Status;
+                                    Shell.inspect([&](const EntryState &Entry,
+                                                      TimePoint Now) {
+                                      Status = fleetStatus(Entry, Access, Now);
+                                    });
+                                    sendJson(Res, Format(Status));
+                                  }));
 }
 
-void AdminApi::addCheck() {
+void AdminApi::addCheckPath() {
   const char *Path = "/v1/check";
   Server->Post(
       Path,
-      forTeam(Path, true,
-              [this](const TeamAccess &, const auto &Asked, auto &Answer) {
-                const auto Read =
-                    outcomeOf([&] { return parseDocument(Asked.body); });
-                if (!Read.Value) {
-                  writeError(Answer, Read.Why, Ran::No, {});
-                  return;
-                }
-                const DocumentPtr InForce = Host.document();
-                reply(Answer,
-                      changeJson(changeOf(InForce.get(), **Read.Value)));
-              }));
+      requireAccess(
+          Path, true, [this](const TeamAccess &, const auto &Req, auto &Res) {
+            const auto Candidate =
+                outcomeOf([&] { return parseDocument(Req.body); });
+            if (!Candidate.Value) {
+              writeError(Res, Candidate.Why, Ran::No, {});
+              return;
+            }
+            const DocumentPtr InForce = Shell.document();
+            sendJson(Res,
+                     changeJson(changeOf(InForce.get(), **Candidate.Value)));
+          }));
 }
 
-Result<TeamAccess> AdminApi::accessFor(const httplib::Request &Asked,
-                                       bool OperatorsOnly) {
-  const DocumentPtr Doc = Host.document();
+Result<TeamAccess> AdminApi::authorizeRequest(const httplib::Request &Req,
+                                              bool OperatorsOnly) {
+  const DocumentPtr Doc = Shell.document();
   BOOST_LEAF_AUTO(Access,
-                  accessOf(Doc.get(), Asked.get_header_value("Authorization")));
+                  accessOf(Doc.get(), Req.get_header_value("Authorization")));
   if (OperatorsOnly && !Access.Operator)
     return fail(ErrorKind::Forbidden, "for operators");
-  return narrow(std::move(Access), Asked);
+  return narrowAccess(std::move(Access), Req);
 }
 
-AdminApi::Work AdminApi::forTeam(
+AdminApi::RequestHandler AdminApi::requireAccess(
     const char *Path, bool OperatorsOnly,
     std::function<void(const TeamAccess &, const httplib::Request &,
                        httplib::Response &)>
-        Then) {
-  return [this, Path, OperatorsOnly, Then = std::move(Then)](
-             const httplib::Request &Asked, httplib::Response &Answer) {
+        Handler) {
+  return [this, Path, OperatorsOnly, Handler = std::move(Handler)](
+             const httplib::Request &Req, httplib::Response &Res) {
     const auto Access =
-        outcomeOf([&] { return accessFor(Asked, OperatorsOnly); });
+        outcomeOf([&] { return authorizeRequest(Req, OperatorsOnly); });
     if (Access.Value) {
-      Then(*Access.Value, Asked, Answer);
+      Handler(*Access.Value, Req, Res);
       return;
     }
-    countRefusal(Asked, Access.Why.Kind);
-    // Neither header nor query is written: a token may stand in both.
+    countRefusal(Req, Access.Why.Kind);
+    // Neither headers nor query are logged: both can contain a token.
     logLine(LogPart::Admin, LogLevel::Warn,
-            "Refused " + std::string(Path) + " to " + Asked.remote_addr + ": " +
+            "Refused " + std::string(Path) + " to " + Req.remote_addr + ": " +
                 answerFor(Access.Why.Kind).Name + ".");
-    writeError(Answer, Access.Why, Ran::No, {});
+    writeError(Res, Access.Why, Ran::No, {});
   };
 }
 
-void AdminApi::countRefusal(const httplib::Request &Asked, ErrorKind Kind) {
+void AdminApi::countRefusal(const httplib::Request &Req, ErrorKind Kind) {
   if (Kind != ErrorKind::Unauthorized && Kind != ErrorKind::Forbidden)
     return;
   AccessRefusal Cause = AccessRefusal::OtherTeam;
   if (Kind == ErrorKind::Unauthorized)
-    Cause = Asked.has_header("Authorization") ? AccessRefusal::WrongToken
-                                              : AccessRefusal::NoToken;
-  ++Refused.at(static_cast<size_t>(Cause));
+    Cause = Req.has_header("Authorization") ? AccessRefusal::WrongToken
+                                            : AccessRefusal::NoToken;
+  ++RefusalCounts.at(static_cast<size_t>(Cause));
 }
 
-void AdminApi::addRefusals(MetricFamilies &Into) const {
-  std::vector<LabelledValue> Values(Refused.size());
-  for (size_t n = 0; n < Refused.size(); ++n)
+void AdminApi::addRefusalCounts(MetricFamilies &Into) const {
+  std::vector<LabelledValue> Values(RefusalCounts.size());
+  for (size_t n = 0; n < RefusalCounts.size(); ++n)
     Values[n] = {{{"cause", AccessRefusalNames.at(n)}},
-                 static_cast<double>(Refused.at(n).load())};
+                 static_cast<double>(RefusalCounts.at(n).load())};
   addFamily(Into, prometheus::MetricType::Counter,
             {"jacinthpond_admin_refused_total",
              "Readers turned away by the administration API."},
             Values);
 }
 
-AdminApi::~AdminApi() { Server->finish(Accepting); }
+AdminApi::~AdminApi() { Server->finish(AcceptThread); }
 
-std::string AdminApi::start() { return startServer(*Server, At, Accepting); }
+std::string AdminApi::start() {
+  return startServer(*Server, ListenAddress, AcceptThread);
+}
 
 } // namespace jacinthpond
--- a/packages/entry/src/call_channel.cpp
+++ b/packages/entry/src/call_channel.cpp
@@ -1,4 +1,4 @@
-/** @file call_channel.cpp From the control thread to callers' threads. */
+/** @file call_channel.cpp Queues of events for callers' threads. */
 
 #include "call_channel.h"
 
--- a/packages/entry/src/call_channel.h
+++ b/packages/entry/src/call_channel.h
@@ -1,4 +1,4 @@
-/** @file call_channel.h From the control thread to the thread of a caller. */
+/** @file call_channel.h Queues of events for callers' threads. */
 
 #ifndef JACINTHPOND_ENTRY_CALL_CHANNEL_H
 #define JACINTHPOND_ENTRY_CALL_CHANNEL_H
@@ -15,22 +15,23 @@
 
 namespace jacinthpond {
 
-/** What a caller's thread gets; the last two are final. */
+/** Event of a call; the end and the error of its answer are final. */
 using CallEvent = std::variant<CallPart, CallEnd, CallError>;
 
-/** Queue of one caller. */
+/** Queue of a call's events, from the control thread to its caller's thread;
+ * thread-safe. */
 class CallChannel {
 public:
   /**
-   * Adds an event.
-   * @param Event What happened.
+   * Adds an event and wakes the thread that waits in pop().
+   * @param Event The event.
    */
   void push(CallEvent Event);
 
   /**
-   * Takes the next event.
+   * Waits for the next event and removes it from the queue.
    * @param Wait Longest wait.
-   * @return The event, or nothing when none came in time.
+   * @return The event; nothing when none arrived in time.
    */
   std::optional<CallEvent> pop(Millis Wait);
 
@@ -40,31 +41,31 @@
   std::deque<CallEvent> Events;
 };
 
-/** All callers that wait, by number. */
+/** Thread-safe table of the channels of open calls. */
 class CallTable {
 public:
   /**
-   * Opens a channel.
-   * @param Id Set to its number.
+   * Opens a channel under a new call id.
+   * @param Id Receives the call id.
    * @return The channel.
    */
   std::shared_ptr<CallChannel> open(CallId &Id);
 
   /**
-   * Closes a channel; later events for it are dropped.
-   * @param Id Its number.
+   * Removes the channel of a call; later events for it are dropped.
+   * @param Id The call.
    */
   void close(CallId Id);
 
   /**
-   * Gives an event to the channel of its caller.
-   * @param Event What happened.
+   * Adds an event to the channel of its call.
+   * @param Event The event.
    */
   void push(CallEvent Event);
 
   /**
-   * Counts the callers.
-   * @return Channels that are open.
+   * Counts the open channels.
+   * @return Number of open channels.
    */
   size_t size();
 
--- a/packages/entry/src/caller_api.cpp
+++ b/packages/entry/src/caller_api.cpp
@@ -1,4 +1,4 @@
-/** @file caller_api.cpp What callers see of an entry, over HTTP. */
+/** @file caller_api.cpp HTTP API of an entry for callers. */
 
 #include "caller_api.h"
 
@@ -25,17 +25,21 @@
 
 namespace {
 
-/** Silence after which a stream gets a comment line that keeps it alive. */
-constexpr Millis KeepAlive{1000};
-/** Longest text of a header that names something, in bytes. */
+/** Time without an event after which a stream gets a keep-alive comment, and
+ * after which a waiting call checks whether its caller left. */
+constexpr Millis KeepAlivePeriod{1000};
+/** Longest workspace name, idempotency key or class name, in bytes. */
 constexpr size_t MaxNameBytes = 128;
 /** Longest home token, in bytes. */
-constexpr size_t MaxTokenBytes = 6144;
+constexpr size_t MaxHomeTokenBytes = 6144;
 
-std::string dumpJson(const Json &Value) {
+/** Serializes JSON; replaces bytes that are not valid UTF-8. */
+std::string toJsonText(const Json &Value) {
   return Value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
+/** Makes a request id that is unique in this process and, through a number
+ * chosen at random at its start, most likely among processes too. */
 RequestId makeRequestId() {
   static std::atomic<uint64_t> Next{1};
   static const uint64_t Run = randomIncarnation();
@@ -44,23 +48,23 @@
 }
 
 /**
- * Says whether a text may stand in a log line. A line feed would let a caller
- * write lines of its own.
+ * Says whether a text has no control characters, so that it can be logged. A
+ * line feed would let a caller forge log lines.
  */
-bool isName(const std::string &Text) {
+bool isPrintable(const std::string &Text) {
   return std::ranges::none_of(Text,
                               [](unsigned char c) { return std::iscntrl(c); });
 }
 
-/** Reads what a caller asks for out of path, headers and body. */
-Result<CallRequest> readCall(const httplib::Request &Asked) {
+/** Parses and validates path, headers and body of a caller's request. */
+Result<CallRequest> parseCall(const httplib::Request &Req) {
   CallRequest Call;
   Call.Request = makeRequestId();
-  Call.Class.Value = Asked.matches[1];
-  Call.Tenant.Value = Asked.get_header_value("X-Tenant");
-  Call.Key.Value = Asked.get_header_value("Idempotency-Key");
-  Call.Token = Asked.get_header_value("X-Home-Token");
-  Call.Body = Asked.body;
+  Call.Class.Value = Req.matches[1];
+  Call.Tenant.Value = Req.get_header_value("X-Tenant");
+  Call.Key.Value = Req.get_header_value("Idempotency-Key");
+  Call.Token = Req.get_header_value("X-Home-Token");
+  Call.Body = Req.body;
   if (Call.Tenant.Value.empty())
     return fail(ErrorKind::BadRequest, "header X-Tenant is missing");
   const std::array Names = {&Call.Tenant.Value, &Call.Key.Value,
@@ -68,17 +72,18 @@
   if (std::ranges::any_of(
           Names, [](const auto *One) { return One->size() > MaxNameBytes; }))
     return fail(ErrorKind::TooLarge, "a name is too long");
-  if (std::ranges::any_of(Names, [](const auto *One) { return !isName(*One); }))
+  if (std::ranges::any_of(Names,
+                          [](const auto *One) { return !isPrintable(*One); }))
     return fail(ErrorKind::BadRequest, "a name has control characters");
-  if (Call.Token.size() > MaxTokenBytes)
+  if (Call.Token.size() > MaxHomeTokenBytes)
     return fail(ErrorKind::TooLarge, "X-Home-Token is too long");
-  const std::string Deadline = Asked.get_header_value("X-Deadline-Ms");
+  const std::string Deadline = Req.get_header_value("X-Deadline-Ms");
   if (!Deadline.empty()) {
     int64_t n = 0;
-    const auto Read =
+    const auto Parsed =
         std::from_chars(Deadline.data(), Deadline.data() + Deadline.size(), n);
-    if (Read.ec != std::errc{} ||
-        Read.ptr != Deadline.data() + Deadline.size() || n <= 0)
+    if (Parsed.ec != std::errc{} ||
+        Parsed.ptr != Deadline.data() + Deadline.size() || n <= 0)
       return fail(ErrorKind::BadRequest,
                   "X-Deadline-Ms: found " + Deadline +
                       ", allowed: a whole number above 0");
@@ -89,154 +94,166 @@
   return Call;
 }
 
-std::string sseEvent(const char *Name, const std::string &Data) {
+/** Formats an event of a text/event-stream. */
+std::string formatSseEvent(const char *Name, const std::string &Data) {
   return std::string("event: ") + Name + "\ndata: " + Data + "\n\n";
 }
 
-/** Turns one event into the text of a stream; sets Final on the last one. */
-std::string streamText(const CallEvent &Event, const RequestId &Request,
-                       bool &Final) {
+/** Formats an event of a call for a stream; sets Final if it is the last. */
+std::string formatStreamEvent(const CallEvent &Event, const RequestId &Request,
+                              bool &Final) {
   return std::visit(
-      Overloaded{[&](const CallPart &e) {
-                   return sseEvent("token", dumpJson({{"text", e.Data}}));
-                 },
-                 [&](const CallEnd &e) {
-                   Final = true;
-                   return sseEvent("end",
-                                   dumpJson({{"count", e.Count},
-                                             {"sha256", e.Content.Value},
-                                             {"weights", e.Weights.Value},
-                                             {"request_id", Request.Value}}));
-                 },
-                 [&](const CallError &e) {
-                   Final = true;
-                   return sseEvent("error", errorBody(e.Why, e.Executed,
-                                                      Request, e.Elsewhere));
-                 }},
+      Overloaded{
+          [&](const CallPart &e) {
+            return formatSseEvent("token", toJsonText({{"text", e.Data}}));
+          },
+          [&](const CallEnd &e) {
+            Final = true;
+            return formatSseEvent("end",
+                                  toJsonText({{"count", e.Count},
+                                              {"sha256", e.Content.Value},
+                                              {"weights", e.Weights.Value},
+                                              {"request_id", Request.Value}}));
+          },
+          [&](const CallError &e) {
+            Final = true;
+            return formatSseEvent(
+                "error", errorBody(e.Why, e.Executed, Request, e.Elsewhere));
+          }},
       Event);
 }
 
-/** Observes the pieces of one answer and logs its end. */
+/** Measures the latencies of one call and logs its outcome. */
 class CallTimer {
 public:
+  /** Starts to measure a call that is about to be submitted. */
   CallTimer(EntryShell &Entry, const CallRequest &Call)
-      : Host(Entry), Doc(Entry.document()), Tenant(Call.Tenant),
-        Class(Call.Class), Request(Call.Request), Began(Entry.clock().now()) {}
+      : Shell(Entry), Doc(Entry.document()), Tenant(Call.Tenant),
+        Class(Call.Class), Request(Call.Request),
+        StartTime(Entry.clock().now()) {}
 
-  /** Notes whatever happened to the call. */
-  void note(const CallEvent &Event) {
-    std::visit(Overloaded{[this](const CallPart &) { notePiece(); },
+  /** Records an event of the call. */
+  void recordEvent(const CallEvent &Event) {
+    std::visit(Overloaded{[this](const CallPart &) { recordPart(); },
                           [this](const CallEnd &) {
-                            observe(Timing::Whole, Began);
-                            log(LogLevel::Debug, "answered");
+                            observe(Timing::Whole, StartTime);
+                            logOutcome(LogLevel::Debug, "answered");
                           },
                           [this](const CallError &e) {
-                            log(LogLevel::Info,
-                                std::string(answerFor(e.Why.Kind).Name) +
-                                    ", ran " +
-                                    std::string(ranName(e.Executed)));
+                            logOutcome(LogLevel::Info,
+                                       std::string(answerFor(e.Why.Kind).Name) +
+                                           ", ran " +
+                                           std::string(ranName(e.Executed)));
                           }},
                Event);
   }
 
 private:
+  /** Adds the time since From to a histogram. */
   void observe(Timing What, TimePoint From) {
-    Host.timings().observe(What, Doc.get(), Tenant, Class,
-                           Host.clock().now() - From);
+    Shell.timings().observe(What, Doc.get(), Tenant, Class,
+                            Shell.clock().now() - From);
   }
 
-  void notePiece() {
-    observe(Pieces == 0 ? Timing::FirstToken : Timing::BetweenTokens,
-            Pieces == 0 ? Began : LastPiece);
-    ++Pieces;
-    LastPiece = Host.clock().now();
+  /** Records the time to the first part, or since the previous one. */
+  void recordPart() {
+    observe(PartCount == 0 ? Timing::FirstToken : Timing::BetweenTokens,
+            PartCount == 0 ? StartTime : LastPartTime);
+    ++PartCount;
+    LastPartTime = Shell.clock().now();
   }
 
-  void log(LogLevel Level, const std::string &End) const {
+  /** Logs how the call ended. */
+  void logOutcome(LogLevel Level, const std::string &Reason) const {
     logLine(LogPart::Requests, Level,
             "Request " + Request.Value + " of class " + Class.Value +
-                " ended: " + End + ".");
+                " ended: " + Reason + ".");
   }
 
-  EntryShell &Host;
-  DocumentPtr Doc; ///< In force when the call came; bounds the labels.
+  EntryShell &Shell;
+  DocumentPtr Doc; ///< In force when the call arrived; limits the labels.
   TenantName Tenant;
   ClassName Class;
   RequestId Request;
-  TimePoint Began;
-  TimePoint LastPiece; ///< Valid once Pieces is above 0.
-  uint64_t Pieces = 0;
+  TimePoint StartTime;
+  TimePoint LastPartTime; ///< Valid once PartCount is above 0.
+  uint64_t PartCount = 0;
 };
 
-void writeCallError(httplib::Response &Answer, const CallError &Error,
+/** Writes the error that ended a call as a plain HTTP answer. */
+void writeCallError(httplib::Response &Res, const CallError &Error,
                     const RequestId &Request) {
   if (!Error.Token.empty())
-    Answer.set_header("X-Home-Token", Error.Token);
-  Answer.set_header("X-Request-Id", Request.Value);
-  writeError(Answer, Error.Why, Error.Executed, Request, Error.Elsewhere);
+    Res.set_header("X-Home-Token", Error.Token);
+  Res.set_header("X-Request-Id", Request.Value);
+  writeError(Res, Error.Why, Error.Executed, Request, Error.Elsewhere);
 }
 
-/** Waits for the whole answer and writes it; false when the caller left. */
-bool answerWhole(CallChannel &Channel, const CallRequest &Call,
-                 CallTimer &Timer, httplib::Response &Answer) {
+/** Waits for the whole answer and writes it. @return False when the caller
+ * left. */
+bool writeWholeAnswer(CallChannel &Channel, const CallRequest &Call,
+                      CallTimer &Timer, httplib::Response &Res) {
   std::string Text;
   for (;;) {
-    const auto Event = Channel.pop(KeepAlive);
-    // A caller that left wants no answer: its attempt is to end too.
+    const auto Event = Channel.pop(KeepAlivePeriod);
+    // The caller left: end the call, so that its attempt is cancelled.
     if (callerGone())
       return false;
     if (!Event)
       continue;
-    Timer.note(*Event);
+    Timer.recordEvent(*Event);
     if (const auto *Part = std::get_if<CallPart>(&*Event)) {
       Text += Part->Data;
       continue;
     }
     if (const auto *Error = std::get_if<CallError>(&*Event)) {
-      writeCallError(Answer, *Error, Call.Request);
+      writeCallError(Res, *Error, Call.Request);
       return true;
     }
     const auto &End = std::get<CallEnd>(*Event);
-    Answer.set_header("X-Request-Id", Call.Request.Value);
+    Res.set_header("X-Request-Id", Call.Request.Value);
     if (End.Weights.Value.empty()) {
-      Answer.status = End.Status;
-      Answer.set_content(Text, "application/json");
+      Res.status = End.Status;
+      Res.set_content(Text, "application/json");
       return true;
     }
-    Answer.set_content(dumpJson({{"text", Text},
-                                 {"count", End.Count},
-                                 {"sha256", End.Content.Value},
-                                 {"weights", End.Weights.Value},
-                                 {"request_id", Call.Request.Value}}),
-                       "application/json");
+    Res.set_content(toJsonText({{"text", Text},
+                                {"count", End.Count},
+                                {"sha256", End.Content.Value},
+                                {"weights", End.Weights.Value},
+                                {"request_id", Call.Request.Value}}),
+                    "application/json");
     return true;
   }
 }
 
-/** One caller's stream; forgets the call when the library drops it. */
+/** A streamed answer; finishes the call when the HTTP library destroys it. */
 struct OpenStream {
-  EntryShell &Host;                     ///< The entry.
-  std::shared_ptr<CallChannel> Channel; ///< Where events come from.
-  CallRequest Call;                     ///< Whose stream.
-  CallTimer Timer;                      ///< Its timings.
-  std::optional<CallEvent> First;       ///< Event read before the stream began.
-  bool Final = false;                   ///< The last event was written.
+  EntryShell &Shell;                     ///< The entry.
+  std::shared_ptr<CallChannel> Channel;  ///< Source of the events.
+  CallRequest Call;                      ///< The call that is answered.
+  CallTimer Timer;                       ///< Its latencies.
+  std::optional<CallEvent> PendingEvent; ///< Read before the stream began.
+  bool Final = false; ///< The final event was taken from the channel.
 
   OpenStream(EntryShell &Entry, std::shared_ptr<CallChannel> From,
-             CallRequest Asked, CallTimer Began, CallEvent Begin)
-      : Host(Entry), Channel(std::move(From)), Call(std::move(Asked)),
-        Timer(std::move(Began)), First(std::move(Begin)) {}
-  ~OpenStream() { Host.done(Call.Call, Final); }
+             CallRequest Owner, CallTimer Started, CallEvent FirstEvent)
+      : Shell(Entry), Channel(std::move(From)), Call(std::move(Owner)),
+        Timer(std::move(Started)), PendingEvent(std::move(FirstEvent)) {}
+  ~OpenStream() { Shell.finishCall(Call.Call, Final); }
   OpenStream(const OpenStream &) = delete;
   OpenStream &operator=(const OpenStream &) = delete;
 
-  bool writeNext(httplib::DataSink &Sink) {
-    const auto Event =
-        First ? std::exchange(First, std::nullopt) : Channel->pop(KeepAlive);
+  /** Writes the next event, or a keep-alive comment when none comes in time.
+   * @return False when the caller left. */
+  bool writeNextEvent(httplib::DataSink &Sink) {
+    const auto Event = PendingEvent ? std::exchange(PendingEvent, std::nullopt)
+                                    : Channel->pop(KeepAlivePeriod);
     if (Event)
-      Timer.note(*Event);
+      Timer.recordEvent(*Event);
     const std::string Text =
-        Event ? streamText(*Event, Call.Request, Final) : ": keep-alive\n\n";
+        Event ? formatStreamEvent(*Event, Call.Request, Final)
+              : ": keep-alive\n\n";
     if (!Sink.write(Text.data(), Text.size()))
       return false;
     if (Final)
@@ -245,58 +262,62 @@
   }
 };
 
-/** Answers as a stream; an error before the first token is a plain answer. */
-void answerStream(EntryShell &Host, std::shared_ptr<CallChannel> Channel,
-                  const CallRequest &Call, CallTimer Timer,
-                  httplib::Response &Answer) {
-  std::optional<CallEvent> Begin;
-  while (!(Begin = Channel->pop(KeepAlive)))
+/** Waits for the first event, then starts to stream the answer; an error before
+ * the first token is sent as a plain answer. */
+void startAnswerStream(EntryShell &Shell, std::shared_ptr<CallChannel> Channel,
+                       const CallRequest &Call, CallTimer Timer,
+                       httplib::Response &Res) {
+  std::optional<CallEvent> FirstEvent;
+  while (!(FirstEvent = Channel->pop(KeepAlivePeriod)))
     if (callerGone()) {
-      Host.done(Call.Call, false);
+      Shell.finishCall(Call.Call, false);
       return;
     }
-  if (const auto *Error = std::get_if<CallError>(&*Begin)) {
-    Timer.note(*Begin);
-    writeCallError(Answer, *Error, Call.Request);
-    Host.done(Call.Call, true);
+  if (const auto *Error = std::get_if<CallError>(&*FirstEvent)) {
+    Timer.recordEvent(*FirstEvent);
+    writeCallError(Res, *Error, Call.Request);
+    Shell.finishCall(Call.Call, true);
     return;
   }
-  const auto Stream = std::make_shared<OpenStream>(
-      Host, std::move(Channel), Call, std::move(Timer), std::move(*Begin));
-  Answer.set_header("X-Request-Id", Call.Request.Value);
-  Answer.set_chunked_content_provider(
-      "text/event-stream", [Stream](size_t, httplib::DataSink &Sink) {
-        return Stream->writeNext(Sink);
-      });
+  const auto Stream =
+      std::make_shared<OpenStream>(Shell, std::move(Channel), Call,
+                                   std::move(Timer), std::move(*FirstEvent));
+  Res.set_header("X-Request-Id", Call.Request.Value);
+  Res.set_chunked_content_provider("text/event-stream",
+                                   [Stream](size_t, httplib::DataSink &Sink) {
+                                     return Stream->writeNextEvent(Sink);
+                                   });
 }
 
-void handleCall(EntryShell &Host, const httplib::Request &Asked,
-                httplib::Response &Answer) {
-  Outcome<CallRequest> Read = outcomeOf([&] { return readCall(Asked); });
-  if (!Read.Value) {
-    writeError(Answer, Read.Why, Ran::No, {});
+/** Handles a request of a class: submits the call and answers it whole or, if
+ * the caller accepts text/event-stream, as a stream. */
+void handleCall(EntryShell &Shell, const httplib::Request &Req,
+                httplib::Response &Res) {
+  Outcome<CallRequest> Parsed = outcomeOf([&] { return parseCall(Req); });
+  if (!Parsed.Value) {
+    writeError(Res, Parsed.Why, Ran::No, {});
     return;
   }
-  CallRequest &Call = *Read.Value;
-  Call.Caller = Asked.remote_addr;
-  CallTimer Timer(Host, Call);
-  auto Channel = Host.call(Call);
-  if (Asked.get_header_value("Accept") == "text/event-stream") {
-    answerStream(Host, std::move(Channel), Call, std::move(Timer), Answer);
+  CallRequest &Call = *Parsed.Value;
+  Call.Caller = Req.remote_addr;
+  CallTimer Timer(Shell, Call);
+  auto Channel = Shell.submitCall(Call);
+  if (Req.get_header_value("Accept") == "text/event-stream") {
+    startAnswerStream(Shell, std::move(Channel), Call, std::move(Timer), Res);
     return;
   }
-  const bool Heard = answerWhole(*Channel, Call, Timer, Answer);
-  Host.done(Call.Call, Heard);
+  const bool Finished = writeWholeAnswer(*Channel, Call, Timer, Res);
+  Shell.finishCall(Call.Call, Finished);
 }
 
-/** Gives a home token for a class whose calls may not be repeated. */
-void handleToken(EntryShell &Host, const httplib::Request &Asked,
-                 httplib::Response &Answer) {
-  const ClassName Class{Asked.matches[1]};
+/** Issues a home token for a class whose calls must not be repeated. */
+void handleHomeToken(EntryShell &Shell, const httplib::Request &Req,
+                     httplib::Response &Res) {
+  const ClassName Class{Req.matches[1]};
   std::string Token;
   bool Known = false;
   bool Ready = false;
-  Host.inspect([&](const EntryState &Entry, TimePoint) {
+  Shell.inspect([&](const EntryState &Entry, TimePoint) {
     const Document *Doc = Entry.View.InForce.get();
     Ready = Doc != nullptr;
     const WorkClass *Row = Doc == nullptr ? nullptr : findClass(*Doc, Class);
@@ -304,80 +325,82 @@
     Token = makeHomeToken(Entry, Class);
   });
   if (!Ready) {
-    writeError(Answer, {ErrorKind::StaleView, "no configuration yet", {}},
-               Ran::No, {});
+    writeError(Res, {ErrorKind::StaleView, "no configuration yet", {}}, Ran::No,
+               {});
     return;
   }
   if (!Known) {
     writeError(
-        Answer,
-        {ErrorKind::NotFound, "no class with tokens: " + Class.Value, {}},
+        Res, {ErrorKind::NotFound, "no class with tokens: " + Class.Value, {}},
         Ran::No, {});
     return;
   }
   if (Token.empty()) {
-    writeError(Answer, {ErrorKind::NoWorker, "no home is ready", {}}, Ran::No,
-               {});
+    writeError(Res, {ErrorKind::NoWorker, "no home is ready", {}}, Ran::No, {});
     return;
   }
-  Answer.set_content(dumpJson({{"class", Class.Value}, {"token", Token}}),
-                     "application/json");
+  Res.set_content(toJsonText({{"class", Class.Value}, {"token", Token}}),
+                  "application/json");
 }
 
-/** Tells which entries to use, in an order spread by a hash of the caller. */
-void handleEntries(EntryShell &Host, const Settings &Config,
-                   const httplib::Request &Asked, httplib::Response &Answer) {
+/** Lists the entries that a caller can use, in an order that depends on a hash
+ * of its address, so that callers spread over the entries. */
+void handleEntries(EntryShell &Shell, const Settings &Config,
+                   const httplib::Request &Req, httplib::Response &Res) {
   Json Body = {{"entries", Json::array()},
                {"keep_ms", Config.AddressKeepMillis}};
-  Host.inspect([&](const EntryState &Entry, TimePoint) {
-    for (const Address &At : addressesFor(Entry, Asked.remote_addr))
+  Shell.inspect([&](const EntryState &Entry, TimePoint) {
+    for (const Address &At : addressesFor(Entry, Req.remote_addr))
       Body["entries"].push_back(At.Value);
   });
-  Answer.set_content(Body.dump(), "application/json");
+  Res.set_content(Body.dump(), "application/json");
 }
 
 } // namespace
 
 namespace {
 
-ListenerLimits limitsOf(const Settings &Config) {
+/** Returns the limits of the listener according to the settings. */
+ListenerLimits listenerLimits(const Settings &Config) {
   ListenerLimits Limits;
   Limits.Threads = static_cast<size_t>(Config.CallerThreads);
   Limits.MaxBodyBytes = static_cast<size_t>(Config.MaxBodyBytes);
   Limits.ReadTimeout = Millis(Config.CallerReadMillis);
-  // Answers may take long: whoever finds no thread is told at once.
+  // Answers can take long, so a caller for whom no thread is free is refused
+  // at once instead of queued.
   Limits.MaxQueued = 0;
   return Limits;
 }
 
 } // namespace
 
-CallerApi::CallerApi(const Settings &Config, EntryShell &Host)
-    : Config(Config), Host(Host),
-      Server(std::make_unique<GuardedServer>(limitsOf(Config))) {
-  // A caller on a kept connection would go on using an entry that leaves.
+CallerApi::CallerApi(const Settings &Config, EntryShell &Shell)
+    : Config(Config), Shell(Shell),
+      Server(std::make_unique<GuardedServer>(listenerLimits(Config))) {
+  // A caller on a persistent connection would go on using an entry that shuts
+  // down.
   Server->set_post_routing_handler(
-      [this](const httplib::Request &, httplib::Response &Answer) {
-        if (this->Host.leaving())
-          Answer.set_header("Connection", "close");
+      [this](const httplib::Request &, httplib::Response &Res) {
+        if (this->Shell.isLeaving())
+          Res.set_header("Connection", "close");
       });
-  Server->Get("/v1/entries", [this](const auto &Asked, auto &Answer) {
-    handleEntries(this->Host, this->Config, Asked, Answer);
+  Server->Get("/v1/entries", [this](const auto &Req, auto &Res) {
+    handleEntries(this->Shell, this->Config, Req, Res);
   });
   Server->Get(R"(/v1/classes/([^/]+)/token)",
-              [this](const auto &Asked, auto &Answer) {
-                handleToken(this->Host, Asked, Answer);
+              [this](const auto &Req, auto &Res) {
+                handleHomeToken(this->Shell, Req, Res);
               });
   Server->Post(R"(/v1/classes/([^/]+)/requests)",
-               [this](const auto &Asked, auto &Answer) {
-                 handleCall(this->Host, Asked, Answer);
+               [this](const auto &Req, auto &Res) {
+                 handleCall(this->Shell, Req, Res);
                });
 }
 
-CallerApi::~CallerApi() { Server->finish(Accepting); }
+CallerApi::~CallerApi() { Server->finish(AcceptThread); }
 
 std::string CallerApi::start() {
-  return startServer(*Server, Config.CallerListen, Accepting);
+  return startServer(*Server, Config.CallerListen, AcceptThread);
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/caller_api.h
+++ b/packages/entry/src/caller_api.h
@@ -1,4 +1,4 @@
-/** @file caller_api.h What callers see of an entry, over HTTP. */
+/** @file caller_api.h HTTP API of an entry for callers. */
 
 #ifndef JACINTHPOND_ENTRY_CALLER_API_H
 #define JACINTHPOND_ENTRY_CALLER_API_H
@@ -12,31 +12,31 @@
 
 class GuardedServer;
 
-/** Serves callers until it is destroyed. */
+/** HTTP server for callers; serves from start() until it is destroyed. */
 class CallerApi {
 public:
   /**
-   * Sets up; nothing is accepted yet.
+   * Sets up; accepts no connections yet.
    * @param Config Settings of the process.
-   * @param Host The entry; outlives the API.
+   * @param Shell The entry; must outlive the API.
    */
-  CallerApi(const Settings &Config, EntryShell &Host);
-  /** Lets answers under way end, then ends the server's threads. */
+  CallerApi(const Settings &Config, EntryShell &Shell);
+  /** Waits for open answers to end, then stops the server's threads. */
   ~CallerApi();
   CallerApi(const CallerApi &) = delete;
   CallerApi &operator=(const CallerApi &) = delete;
 
   /**
-   * Starts to accept callers.
-   * @return The address in use; empty when it cannot be had.
+   * Starts to accept connections.
+   * @return The address in use; empty when it could not be bound.
    */
   std::string start();
 
 private:
   Settings Config;
-  EntryShell &Host;
+  EntryShell &Shell;
   std::unique_ptr<GuardedServer> Server;
-  std::thread Accepting;
+  std::thread AcceptThread;
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/entry_metrics.cpp
+++ b/packages/entry/src/entry_metrics.cpp
@@ -1,4 +1,4 @@
-/** @file entry_metrics.cpp Counters and gauges of an entry. */
+/** @file entry_metrics.cpp Metrics of an entry. */
 
 #include "entry_metrics.h"
 
@@ -13,28 +13,34 @@
 
 namespace {
 
-std::vector<LabelledValue> one(double Value) { return {{{}, Value}}; }
+/** Returns the values of a metric with a single value and no labels. */
+std::vector<LabelledValue> unlabelledValue(double Value) {
+  return {{{}, Value}};
+}
 
-void addConfig(MetricFamilies &Into, const EntryState &Entry, TimePoint Now) {
+/** Adds version and age of the document in force, and counts of refused
+ * documents. */
+void addConfigMetrics(MetricFamilies &Into, const EntryState &Entry,
+                      TimePoint Now) {
   const ConfigView &View = Entry.View;
   addFamily(Into, MetricType::Gauge,
             {"jacinthpond_config_version", "Version in force; 0: none."},
-            one(static_cast<double>(versionInForce(View).Value)));
+            unlabelledValue(static_cast<double>(versionInForce(View).Value)));
   const std::chrono::duration<double> Age = Now - View.Since;
   addFamily(Into, MetricType::Gauge,
             {"jacinthpond_config_age_seconds", "Time it has been in force."},
-            one(View.InForce ? Age.count() : 0));
+            unlabelledValue(View.InForce ? Age.count() : 0));
   addFamily(Into, MetricType::Counter,
             {"jacinthpond_config_refused_total", "Invalid documents seen."},
-            one(static_cast<double>(View.Refused)));
+            unlabelledValue(static_cast<double>(View.Refused)));
   addFamily(Into, MetricType::Counter,
             {"jacinthpond_config_conflicts_total",
              "Documents whose version is taken by another content."},
-            one(static_cast<double>(View.Conflicts)));
+            unlabelledValue(static_cast<double>(View.Conflicts)));
 }
 
-/** Counts links by role of the peer and by how far they have come. */
-void addLinks(MetricFamilies &Into, const EntryState &Entry) {
+/** Adds the number of ready links by role of the peer, and of opening links. */
+void addLinkMetrics(MetricFamilies &Into, const EntryState &Entry) {
   double Agents = 0;
   double Entries = 0;
   double Opening = 0;
@@ -50,8 +56,9 @@
              {{{"peer", "opening"}}, Opening}});
 }
 
-/** Transfer progress of the workers that this entry has links to. */
-void addTransfer(MetricFamilies &Into, const EntryState &Entry) {
+/** Adds the weights transfer progress, by domain, of the workers to which this
+ * entry has links. */
+void addTransferMetrics(MetricFamilies &Into, const EntryState &Entry) {
   std::map<std::string, std::pair<double, double>> Chunks;
   for (const auto &[Id, Link] : Entry.Fleet.Links) {
     if (Link.State != LinkState::Ready || Link.Load.ChunksWanted == 0)
@@ -78,36 +85,38 @@
 
 } // namespace
 
-MetricFamilies entryFamilies(const EntryState &Entry, TimePoint Now) {
+MetricFamilies entryMetrics(const EntryState &Entry, TimePoint Now) {
   MetricFamilies All;
   for (const EntryCounterSpec &Row : EntryCounterTable)
-    addFamily(All, MetricType::Counter, Row.Spec,
-              one(static_cast<double>(Entry.Counters.*Row.Counter)));
+    addFamily(
+        All, MetricType::Counter, Row.Spec,
+        unlabelledValue(static_cast<double>(Entry.Counters.*Row.Counter)));
   addErrorCounts(All,
                  {"jacinthpond_errors_total", "Final errors, by error kind."},
                  Entry.Counters.Errors);
   addFamily(All, MetricType::Gauge,
             {"jacinthpond_open_requests", "Requests without a final answer."},
-            one(static_cast<double>(Entry.Calls.size())));
-  addFamily(All, MetricType::Gauge,
-            {"jacinthpond_quarantined", "Requests held apart as suspects."},
-            one(static_cast<double>(Entry.Suspects.Suspects.size())));
-  addConfig(All, Entry, Now);
-  addLinks(All, Entry);
-  addTransfer(All, Entry);
+            unlabelledValue(static_cast<double>(Entry.Calls.size())));
+  addFamily(
+      All, MetricType::Gauge,
+      {"jacinthpond_quarantined", "Requests held apart as suspects."},
+      unlabelledValue(static_cast<double>(Entry.Suspects.Suspects.size())));
+  addConfigMetrics(All, Entry, Now);
+  addLinkMetrics(All, Entry);
+  addTransferMetrics(All, Entry);
   return All;
 }
 
-MetricFamilies routeFamilies(const Forwarder &Routes) {
+MetricFamilies routeMetrics(const Forwarder &Routes) {
   MetricFamilies All = Routes.timings().collect();
   for (size_t n = 0; n < ForwardCounterTable.size(); ++n)
     addFamily(All, MetricType::Counter,
               {ForwardCounterTable.at(n).Name, ForwardCounterTable.at(n).Help},
-              one(static_cast<double>(
+              unlabelledValue(static_cast<double>(
                   Routes.counters().get(static_cast<ForwardCount>(n)))));
   addFamily(All, MetricType::Gauge,
             {"jacinthpond_route_open", "Requests on routes under way."},
-            one(Routes.open()));
+            unlabelledValue(Routes.open()));
   return All;
 }
 
--- a/packages/entry/src/entry_metrics.h
+++ b/packages/entry/src/entry_metrics.h
@@ -1,4 +1,4 @@
-/** @file entry_metrics.h Counters and gauges of an entry. */
+/** @file entry_metrics.h Metrics of an entry. */
 
 #ifndef JACINTHPOND_ENTRY_ENTRY_METRICS_H
 #define JACINTHPOND_ENTRY_ENTRY_METRICS_H
@@ -10,19 +10,19 @@
 namespace jacinthpond {
 
 /**
- * Reads the counters out of the state.
+ * Collects the metrics of calls, configuration, links and weights transfer.
  * @param Entry The state.
  * @param Now Current time.
- * @return Families for the page; none names a tenant.
+ * @return Metric families; none has a workspace label.
  */
-MetricFamilies entryFamilies(const EntryState &Entry, TimePoint Now);
+MetricFamilies entryMetrics(const EntryState &Entry, TimePoint Now);
 
 /**
- * Gathers what the traffic side of routes counted and timed.
- * @param Routes The traffic side.
- * @return Families for the page.
+ * Collects the counters and histograms of requests on routes.
+ * @param Routes The forwarder.
+ * @return Metric families.
  */
-MetricFamilies routeFamilies(const Forwarder &Routes);
+MetricFamilies routeMetrics(const Forwarder &Routes);
 
 } // namespace jacinthpond
 
--- a/packages/entry/src/entry_shell.cpp
+++ b/packages/entry/src/entry_shell.cpp
@@ -1,4 +1,4 @@
-/** @file entry_shell.cpp The entry program: threads around its decisions. */
+/** @file entry_shell.cpp Threads and links of an entry process. */
 
 #include "entry_shell.h"
 
@@ -16,18 +16,19 @@
 
 namespace {
 
-/** Time between two looks at the clock. */
+/** Time between two ticks of the control thread. */
 constexpr Millis TickPeriod{50};
-/** Time between two looks whether a wait for the control thread is in vain. */
-constexpr Millis TurnPoll{100};
-/** Time between two readings of the list of hosts. */
+/** Period at which a wait for the control thread checks whether to stop. */
+constexpr Millis PlanPoll{100};
+/** Time between two reads of the list of hosts. */
 constexpr Millis HostsPeriod{1000};
-/** Longest wait for callers to take the error that cuts them off. */
-constexpr Millis LastAnswerWait{1000};
-/** Time between two looks at the requests in progress while draining. */
+/** Longest wait for callers to receive the error that ends their calls when a
+ * shutdown reaches its time limit. */
+constexpr Millis LastErrorWait{1000};
+/** Period at which a shutdown checks the number of open requests. */
 constexpr Millis DrainPoll{20};
-/** Part of the grace time that is kept for ending, before the process is
- * killed. */
+/** Part of the grace period that is reserved for the process to exit, before
+ * the platform kills it. */
 constexpr Millis EndMargin{600};
 
 } // namespace
@@ -58,9 +59,9 @@
                    this->Routes->hostAnswered(Link);
                  return;
                }
-               if (const auto *Heard = std::get_if<RateHeard>(&m)) {
+               if (const auto *RateNotice = std::get_if<RateHeard>(&m)) {
                  if (this->Routes != nullptr)
-                   this->Routes->rateTold(*Heard);
+                   this->Routes->rateTold(*RateNotice);
                  return;
                }
                post([this, Link, Kept = std::move(m)](TimePoint Now,
@@ -69,9 +70,10 @@
                });
              },
              [this](LinkId Link, const Failure &Why) {
-               // What the frame said is lost, so both ends start anew.
+               // The content of the frame is lost, so the link is closed and
+               // both ends reconnect.
                logLine(LogPart::Links, LogLevel::Warn,
-                       "Unreadable frame; link dropped: " + Why.Detail);
+                       "Closing link after an unreadable frame: " + Why.Detail);
                Links.close(Link);
                post([this, Link](TimePoint Now, Effects &Out) {
                  entryLinkClosed(State, Link, Now, Out);
@@ -89,10 +91,10 @@
 
 EntryShell::~EntryShell() {
   {
-    const std::lock_guard Lock(EndGuard);
-    Ending = true;
+    const std::lock_guard Lock(StopGuard);
+    StopThreads = true;
   }
-  EndNow.notify_all();
+  StopRequested.notify_all();
   Loop.stop();
   if (Control.joinable())
     Control.join();
@@ -110,14 +112,14 @@
     Loop.run(TickPeriod, [this](TimePoint Now) {
       Effects Out;
       entryTick(State, Now, Out);
-      showDocument();
-      tellRoutes(Now);
-      perform(std::move(Out));
+      updateSharedDocument();
+      updateForwarder(Now);
+      performEffects(std::move(Out));
     });
   });
-  Reader = std::thread([this] { readConfig(); });
+  Reader = std::thread([this] { runConfigReader(); });
   if (Hosts != nullptr)
-    HostsReader = std::thread([this] { readHosts(); });
+    HostsReader = std::thread([this] { runHostsReader(); });
   return At;
 }
 
@@ -125,46 +127,44 @@
   Loop.post([this, Kept = std::move(Work)](TimePoint Now) {
     Effects Out;
     Kept(Now, Out);
-    showDocument();
-    perform(std::move(Out));
+    updateSharedDocument();
+    performEffects(std::move(Out));
   });
 }
 
-void EntryShell::showDocument() {
-  const std::lock_guard Lock(ShownGuard);
-  if (Shown == State.View.InForce)
+void EntryShell::updateSharedDocument() {
+  const std::lock_guard Lock(SharedDocumentGuard);
+  if (SharedDocument == State.View.InForce)
     return;
-  Shown = State.View.InForce;
+  SharedDocument = State.View.InForce;
   if (Routes != nullptr)
-    Routes->follow(Shown, State.View.PublishedAfter);
+    Routes->follow(SharedDocument, State.View.PublishedAfter);
 }
 
-/** Agents' words are gathered for a tick: each would wake the traffic thread.
- */
-void EntryShell::tellRoutes(TimePoint Now) {
+void EntryShell::updateForwarder(TimePoint Now) {
   if (Routes == nullptr)
     return;
-  std::vector<AgentNews> News = newsOfAgents(State, ToldAgents);
-  if (!News.empty())
-    Routes->told(std::move(News));
+  std::vector<AgentNews> Reports = newsOfAgents(State, LastAgentReports);
+  if (!Reports.empty())
+    Routes->told(std::move(Reports));
   FleetSnapshot Fleet = fleetSnapshot(State, Now);
-  if (Fleet == ToldFleet)
+  if (Fleet == LastFleet)
     return;
-  ToldFleet = Fleet;
+  LastFleet = Fleet;
   Routes->fleet(std::move(Fleet));
 }
 
-size_t EntryShell::openRequests() {
+size_t EntryShell::countOpenRequests() {
   return Callers.size() + (Routes == nullptr ? 0 : Routes->open());
 }
 
 DocumentPtr EntryShell::document() {
-  const std::lock_guard Lock(ShownGuard);
-  return Shown;
+  const std::lock_guard Lock(SharedDocumentGuard);
+  return SharedDocument;
 }
 
-void EntryShell::perform(Effects Todo) {
-  for (Effect &One : Todo)
+void EntryShell::performEffects(Effects Wanted) {
+  for (Effect &One : Wanted)
     std::visit(
         Overloaded{
             [this](const OpenLink &e) { Links.open(e.Link, e.To); },
@@ -175,52 +175,53 @@
             [this](CallError &e) { Callers.push(std::move(e)); },
             [](const LogNote &e) { logLine(e.Part, e.Level, e.Text); },
             [](const auto &) {
-              // Effects of agents; an entry has none of them.
+              // Effects that only agents have.
             }},
         One);
 }
 
-bool EntryShell::waitUnlessEnding(Millis Time) {
-  std::unique_lock Lock(EndGuard);
-  return !EndNow.wait_for(Lock, Time, [this] { return Ending.load(); });
+bool EntryShell::waitUnlessStopped(Millis Time) {
+  std::unique_lock Lock(StopGuard);
+  return !StopRequested.wait_for(Lock, Time,
+                                 [this] { return StopThreads.load(); });
 }
 
-std::optional<ReadTurn> EntryShell::askForTurn(uint64_t Salt) {
-  const auto Told = std::make_shared<std::promise<ReadTurn>>();
-  Loop.post([this, Told, Salt](TimePoint) {
-    Told->set_value(nextRead(State.View, State.Fleet, Salt));
+std::optional<ReadTurn> EntryShell::planNextRead(uint64_t Salt) {
+  const auto Promise = std::make_shared<std::promise<ReadTurn>>();
+  Loop.post([this, Promise, Salt](TimePoint) {
+    Promise->set_value(nextRead(State.View, State.Fleet, Salt));
   });
-  auto Turn = Told->get_future();
-  // A loop that is ending never answers.
-  while (Turn.wait_for(TurnPoll) != std::future_status::ready)
-    if (Ending)
+  auto Plan = Promise->get_future();
+  // A loop that has stopped never runs the task.
+  while (Plan.wait_for(PlanPoll) != std::future_status::ready)
+    if (StopThreads)
       return std::nullopt;
-  return Turn.get();
+  return Plan.get();
 }
 
-void EntryShell::readConfig() {
-  for (uint64_t n = 0; !Ending; ++n) {
-    const auto Turn = askForTurn(n);
-    if (!Turn || !waitUnlessEnding(Turn->Delay))
+void EntryShell::runConfigReader() {
+  for (uint64_t n = 0; !StopThreads; ++n) {
+    const auto Plan = planNextRead(n);
+    if (!Plan || !waitUnlessStopped(Plan->Delay))
       return;
-    if (!Turn->Reader)
+    if (!Plan->Reader)
       continue;
-    const TimePoint Began = Clock.now();
+    const TimePoint ReadStart = Clock.now();
     const Outcome<std::string> Read = outcomeOf(
-        [&] { return Service.watch(Turn->After, Turn->InForce, Turn->Wait); });
-    post([this, Read, Began](TimePoint Now, Effects &Out) {
-      entryConfigRead(State, Read, Began, Now, Out);
+        [&] { return Service.watch(Plan->After, Plan->InForce, Plan->Wait); });
+    post([this, Read, ReadStart](TimePoint Now, Effects &Out) {
+      entryConfigRead(State, Read, ReadStart, Now, Out);
     });
   }
 }
 
-void EntryShell::readHosts() {
+void EntryShell::runHostsReader() {
   std::vector<HostName> Leaving;
-  for (uint64_t n = 0; waitUnlessEnding(HostsPeriod); ++n) {
-    const auto Turn = askForTurn(n);
-    if (!Turn)
+  for (uint64_t n = 0; waitUnlessStopped(HostsPeriod); ++n) {
+    const auto Plan = planNextRead(n);
+    if (!Plan)
       return;
-    if (!Turn->Reader) {
+    if (!Plan->Reader) {
       Leaving.clear();
       continue;
     }
@@ -231,23 +232,23 @@
         if (State == HostState::Leaving)
           Leaving.push_back(Host);
     }
-    // While the list is silent its last answer stands: a host that was
-    // leaving does not stay.
+    // After a failed read the last list is kept: a host that is leaving stays
+    // so.
     post([this, Leaving](TimePoint Now, Effects &Out) {
       entryHostsRead(State, Leaving, Now, Out);
     });
   }
 }
 
-std::shared_ptr<CallChannel> EntryShell::call(CallRequest &Asked) {
-  auto Channel = Callers.open(Asked.Call);
-  post([this, Asked](TimePoint Now, Effects &Out) {
-    entryCall(State, Asked, Now, Out);
+std::shared_ptr<CallChannel> EntryShell::submitCall(CallRequest &Request) {
+  auto Channel = Callers.open(Request.Call);
+  post([this, Request](TimePoint Now, Effects &Out) {
+    entryCall(State, Request, Now, Out);
   });
   return Channel;
 }
 
-void EntryShell::done(CallId Id, bool Finished) {
+void EntryShell::finishCall(CallId Id, bool Finished) {
   Callers.close(Id);
   if (!Finished)
     post(
@@ -255,43 +256,46 @@
 }
 
 void EntryShell::inspect(
-    const std::function<void(const EntryState &, TimePoint)> &Look) {
-  Loop.postAndWait([&](TimePoint Now) { Look(State, Now); });
+    const std::function<void(const EntryState &, TimePoint)> &Inspector) {
+  Loop.postAndWait([&](TimePoint Now) { Inspector(State, Now); });
 }
 
-bool EntryShell::waitAnswered(TimePoint NotBefore, TimePoint Limit) {
-  while (Clock.now() < Limit && (openRequests() > 0 || Clock.now() < NotBefore))
+bool EntryShell::waitForOpenRequests(TimePoint NotBefore, TimePoint Limit) {
+  while (Clock.now() < Limit &&
+         (countOpenRequests() > 0 || Clock.now() < NotBefore))
     std::this_thread::sleep_for(DrainPoll);
-  return openRequests() == 0;
+  return countOpenRequests() == 0;
 }
 
 bool EntryShell::drain() {
   Leaving = true;
   if (Routes != nullptr)
     Routes->leave();
-  const TimePoint Begin = Clock.now();
-  const Millis Longest = shutdownTime(State.Config, EndMargin);
-  const TimePoint Limit = Begin + Longest;
-  // A channel is closed when its answer was written to the caller's socket,
-  // later than the last event of the call. Until callers on kept connections
-  // were told, the listener stays: a connection that it had taken would be
-  // cut with the request of a caller in it.
+  const TimePoint StartTime = Clock.now();
+  const Millis TimeLimit = shutdownTime(State.Config, EndMargin);
+  const TimePoint Limit = StartTime + TimeLimit;
+  // A channel is closed only once its answer was written to the caller's
+  // socket, which is later than the last event of the call. The listener stays
+  // open until callers on persistent connections were told to close them:
+  // otherwise accepted connections would be cut with requests in them.
   const Millis Notice =
-      std::min(Millis(State.Config.LeaveNoticeMillis), Longest * 3 / 4);
+      std::min(Millis(State.Config.LeaveNoticeMillis), TimeLimit * 3 / 4);
   post([this, Notice](TimePoint Now, Effects &Out) {
     entryStop(State, Now, Notice, Out);
   });
-  // What comes in the last part could not be answered before the end.
+  // Requests that arrive in the second half of the notice period might not be
+  // answered before the process ends, so they are refused as not run.
   if (Routes != nullptr) {
-    waitAnswered(Begin + Notice / 2, Begin + Notice / 2);
+    waitForOpenRequests(StartTime + Notice / 2, StartTime + Notice / 2);
     Routes->refuseNew();
   }
-  if (waitAnswered(Begin + Notice, Limit))
+  if (waitForOpenRequests(StartTime + Notice, Limit))
     return true;
   logLine(LogPart::Main, LogLevel::Error,
-          "Shutdown cut off " + std::to_string(openRequests()) + " requests.");
+          "Shutdown cut off " + std::to_string(countOpenRequests()) +
+              " requests.");
   post([this](TimePoint, Effects &Out) { entryCutOff(State, Out); });
-  waitAnswered(Begin, Clock.now() + LastAnswerWait);
+  waitForOpenRequests(StartTime, Clock.now() + LastErrorWait);
   return false;
 }
 
--- a/packages/entry/src/entry_shell.h
+++ b/packages/entry/src/entry_shell.h
@@ -1,4 +1,4 @@
-/** @file entry_shell.h The entry program: threads around its decisions. */
+/** @file entry_shell.h Threads and links of an entry process. */
 
 #ifndef JACINTHPOND_ENTRY_ENTRY_SHELL_H
 #define JACINTHPOND_ENTRY_ENTRY_SHELL_H
@@ -24,117 +24,144 @@
 
 namespace jacinthpond {
 
-/** State, control thread and links of one entry host. */
+/**
+ * Runs an entry: owns its state and the control thread that changes it, and
+ * carries out the effects that the decision functions of the core return.
+ */
 class EntryShell {
 public:
   /**
-   * Sets up; nothing runs yet.
+   * Sets up; no thread runs yet.
    * @param Config Settings of the process.
-   * @param Service The configuration service; outlives the shell.
-   * @param Hosts The list of hosts, or null; outlives the shell.
-   * @param Routes Requests on routes, or null; outlives the shell.
+   * @param Service The configuration service; must outlive the shell.
+   * @param Hosts The platform's list of hosts, or null; must outlive the shell.
+   * @param Routes Forwarder of requests on routes, or null; must outlive the
+   *               shell.
    */
   EntryShell(const Settings &Config, ConfigPort &Service, HostsPort *Hosts,
              Forwarder *Routes);
-  /** Ends all threads. */
+  /** Stops and joins all threads. */
   ~EntryShell();
   EntryShell(const EntryShell &) = delete;
   EntryShell &operator=(const EntryShell &) = delete;
 
   /**
    * Listens for peers and starts the threads.
-   * @return The peer address in use; empty when it cannot be had.
+   * @return The peer address in use; empty when it could not be bound.
    */
   std::string start();
 
   /**
-   * Takes a caller's request.
-   * @param Asked The request; its number is set.
-   * @return Where the answer comes.
+   * Hands a caller's request to the control thread.
+   * @param Request The request; its call id is set.
+   * @return The channel that receives the events of the answer.
    */
-  std::shared_ptr<CallChannel> call(CallRequest &Asked);
+  std::shared_ptr<CallChannel> submitCall(CallRequest &Request);
 
   /**
-   * Forgets a caller.
-   * @param Id Its number.
+   * Closes the channel of a call; cancels the call if it is unfinished.
+   * @param Id The call.
    * @param Finished False when the caller left before its final answer.
    */
-  void done(CallId Id, bool Finished);
+  void finishCall(CallId Id, bool Finished);
 
   /**
-   * Reads the state on the control thread.
-   * @param Look Gets the state and the time.
+   * Runs a function on the control thread with read access to the state, and
+   * waits until it has returned.
+   * @param Inspector Receives the state and the current time.
    */
-  void inspect(const std::function<void(const EntryState &, TimePoint)> &Look);
+  void
+  inspect(const std::function<void(const EntryState &, TimePoint)> &Inspector);
 
   /**
-   * Gives the document in force without waiting for the control thread.
+   * Returns the document in force without waiting for the control thread.
    * @return The document; null while there is none.
    */
   DocumentPtr document();
 
   /**
-   * Gives the clock of the process.
+   * Returns the clock of the process.
    * @return The clock.
    */
   const ClockPort &clock() const { return Clock; }
 
   /**
-   * Gives the histograms of the traffic side.
+   * Returns the latency histograms of calls.
    * @return The histograms.
    */
   TrafficMetrics &timings() { return Timings; }
 
   /**
-   * Gives the traffic side of routes.
-   * @return Null where no routes are served.
+   * Returns the forwarder of requests on routes.
+   * @return The forwarder; null where no routes are served.
    */
   const Forwarder *routes() const { return Routes; }
 
   /**
-   * Ends gracefully: refuses new requests, waits for those in progress.
-   * @return False when the time limit cut off requests.
+   * Shuts down gracefully: refuses new requests and waits for open ones.
+   * @return False when requests were still open at the time limit.
    */
   bool drain();
 
   /**
-   * Says whether a graceful shutdown is under way; from any thread.
+   * Says whether a graceful shutdown has begun; may be called from any thread.
    * @return True once drain() has begun.
    */
-  bool leaving() const { return Leaving; }
+  bool isLeaving() const { return Leaving; }
 
 private:
-  bool waitAnswered(TimePoint NotBefore, TimePoint Limit);
-  void perform(Effects Todo);
-  void readConfig();
-  void readHosts();
-  std::optional<ReadTurn> askForTurn(uint64_t Salt);
-  bool waitUnlessEnding(Millis Time);
+  /**
+   * Waits until no request is open, but at least until NotBefore and at most
+   * until Limit.
+   * @return True when no request is open.
+   */
+  bool waitForOpenRequests(TimePoint NotBefore, TimePoint Limit);
+  /** Carries out effects: links, messages, events for callers, log lines. */
+  void performEffects(Effects Wanted);
+  /** Reads the configuration service until the threads stop. */
+  void runConfigReader();
+  /** Reads the platform's list of hosts until the threads stop. */
+  void runHostsReader();
+  /**
+   * Asks the control thread when and how to read the configuration service.
+   * @param Salt Varies the jitter.
+   * @return The plan; nothing when the threads stop.
+   */
+  std::optional<ReadTurn> planNextRead(uint64_t Salt);
+  /** Waits for Time. @return False when the threads stop before that. */
+  bool waitUnlessStopped(Millis Time);
+  /** Runs Work on the control thread and carries out the effects it adds. */
   void post(std::function<void(TimePoint, Effects &)> Work);
-  void showDocument();
-  void tellRoutes(TimePoint Now);
-  size_t openRequests();
+  /** Copies the document in force for other threads and for the forwarder. */
+  void updateSharedDocument();
+  /**
+   * Passes new reports of agents and a changed fleet to the forwarder. Called
+   * once per tick, not per report, since each call wakes the traffic thread.
+   */
+  void updateForwarder(TimePoint Now);
+  /** Counts calls and requests on routes without a final answer. */
+  size_t countOpenRequests();
 
   RuntimeClock Clock;
   ControlLoop Loop;
-  EntryState State; ///< Belongs to the control thread.
+  EntryState State; ///< Used by the control thread only.
   ConfigPort &Service;
   HostsPort *Hosts;
-  Forwarder *Routes;       ///< Null where no routes are served.
-  FleetSnapshot ToldFleet; ///< Last told to Routes.
-  ToldNews ToldAgents;     ///< Last told to Routes.
-  CallTable Callers;
+  Forwarder *Routes;         ///< Null where no routes are served.
+  FleetSnapshot LastFleet;   ///< Last snapshot passed to Routes.
+  ToldNews LastAgentReports; ///< Last reports passed to Routes.
+  CallTable Callers;         ///< Channels of open calls.
   TrafficMetrics Timings;
-  std::mutex ShownGuard; ///< Guards Shown.
-  DocumentPtr Shown;     ///< Document in force, for the traffic side.
-  std::atomic<bool> Leaving{false};
-  std::atomic<bool> Ending{false};
-  std::mutex EndGuard;            ///< Guards a change of Ending.
-  std::condition_variable EndNow; ///< Ending was set.
+  std::mutex SharedDocumentGuard;   ///< Guards SharedDocument.
+  DocumentPtr SharedDocument;       ///< Document in force, for other threads.
+  std::atomic<bool> Leaving{false}; ///< drain() has begun.
+  std::atomic<bool> StopThreads{false};  ///< All threads are to end.
+  std::mutex StopGuard;                  ///< Held to set StopThreads.
+  std::condition_variable StopRequested; ///< StopThreads was set.
   PeerLinks Links;
-  std::thread Control;
-  std::thread Reader;
-  std::thread HostsReader;
+  std::thread Control;     ///< Runs Loop.
+  std::thread Reader;      ///< Runs runConfigReader().
+  std::thread HostsReader; ///< Runs runHostsReader().
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/operator_commands.cpp
+++ b/packages/entry/src/operator_commands.cpp
@@ -1,4 +1,4 @@
-/** @file operator_commands.cpp The operators' commands of jacinthpond. */
+/** @file operator_commands.cpp Commands of jacinthpond for operators. */
 
 #include "operator_commands.h"
 
@@ -18,29 +18,31 @@
 
 namespace {
 
-/** Longest wait for an answer of the administration API. */
+/** Timeout of connecting to the administration API, and of reading from it. */
 constexpr std::chrono::seconds AdminTimeout{10};
 
-/** One command that asks a running entry. */
+/** A command that queries a running entry. */
 struct CommandSpec {
-  const char *Name;                  ///< Word on the command line.
-  const char *Path;                  ///< Path of the API.
-  std::string (*Show)(const Json &); ///< Makes its answer readable.
+  const char *Name;                    ///< Word on the command line.
+  const char *Path;                    ///< Path of the administration API.
+  std::string (*Format)(const Json &); ///< Formats the answer as text.
 };
 
+/** All commands that query a running entry. */
 constexpr std::array<CommandSpec, 3> Commands = {
     {{"status", "/v1/status", statusText},
      {"domains", "/v1/domains", domainsText},
      {"config", "/v1/config", configText}}};
 
+/** Finds a command by name. @return The command; null when there is none. */
 const CommandSpec *findCommand(const std::string &Name) {
   const auto *it = std::ranges::find_if(
       Commands, [&](const CommandSpec &One) { return Name == One.Name; });
   return it == Commands.end() ? nullptr : it;
 }
 
-/** Reads the token; it is never given on the command line, which other users
- * of the host can read. */
+/** Reads the token from its file or from the environment. It is not an option
+ * of the command line, since other users of the host can read that. */
 Result<std::string> readToken(const AdminTarget &Target) {
   std::string Token;
   if (!Target.TokenFile.empty()) {
@@ -56,8 +58,10 @@
   return Token;
 }
 
-/** Says in one line what an answer that is no success means. */
-std::string refusalText(const httplib::Response &Answer) {
+/** Describes an answer that reports an error: kind and message of the error,
+ * its detail on a second line; or the HTTP status when there is no such body.
+ */
+std::string describeErrorAnswer(const httplib::Response &Answer) {
   const Json Body = Json::parse(Answer.body, nullptr, false);
   if (!Body.is_object() || !Body.contains("error"))
     return "status " + std::to_string(Answer.status);
@@ -66,23 +70,38 @@
          (Error.contains("detail") ? "\n" + Error.value("detail", "") : "");
 }
 
-/** Turns an answer of the API into JSON. */
-Result<Json> readAnswer(const httplib::Result &Got, const std::string &At) {
-  if (!Got)
+/**
+ * Parses an answer of the administration API.
+ * @param Received The answer.
+ * @param At Address of the API, for error messages.
+ * @return JSON object; Unreachable when no answer came, InvalidDocument for
+ *         status 422, Forbidden for others than 200, else Malformed.
+ */
+Result<Json> parseAdminAnswer(const httplib::Result &Received,
+                              const std::string &At) {
+  if (!Received)
     return fail(ErrorKind::Unreachable,
-                At + ": " + httplib::to_string(Got.error()));
-  if (Got->status != 200)
-    return fail(Got->status == 422 ? ErrorKind::InvalidDocument
-                                   : ErrorKind::Forbidden,
-                At + ": " + refusalText(*Got));
-  Json Body = Json::parse(Got->body, nullptr, false);
+                At + ": " + httplib::to_string(Received.error()));
+  if (Received->status != 200)
+    return fail(Received->status == 422 ? ErrorKind::InvalidDocument
+                                        : ErrorKind::Forbidden,
+                At + ": " + describeErrorAnswer(*Received));
+  Json Body = Json::parse(Received->body, nullptr, false);
   if (!Body.is_object())
     return fail(ErrorKind::Malformed, At + ": the answer is no JSON");
   return Body;
 }
 
-Result<Json> ask(const AdminTarget &Target, const std::string &Path,
-                 const std::string *Document) {
+/**
+ * Sends a request to the administration API.
+ * @param Target The entry.
+ * @param Path Path of the API.
+ * @param Document Body to POST; null to GET.
+ * @return The answer, a JSON object; Unauthorized without a token, BadRequest
+ *         without an address, else errors of parseAdminAnswer().
+ */
+Result<Json> requestAdminApi(const AdminTarget &Target, const std::string &Path,
+                             const std::string *Document) {
   BOOST_LEAF_AUTO(Token, readToken(Target));
   if (Target.Admin.empty())
     return fail(ErrorKind::BadRequest, "--admin IP:port is missing");
@@ -91,17 +110,17 @@
   Client.set_read_timeout(AdminTimeout);
   const httplib::Headers Headers = {{"Authorization", "Bearer " + Token}};
   if (Document == nullptr)
-    return readAnswer(Client.Get(Path, Headers), Target.Admin);
-  return readAnswer(Client.Post(Path, Headers, *Document, "application/json"),
-                    Target.Admin);
+    return parseAdminAnswer(Client.Get(Path, Headers), Target.Admin);
+  return parseAdminAnswer(
+      Client.Post(Path, Headers, *Document, "application/json"), Target.Admin);
 }
 
-/** Prints an answer, or why there is none. */
-ExitCode show(const Outcome<Json> &Answer, const AdminTarget &Target,
-              std::string (*Show)(const Json &)) {
+/** Prints an answer, or an error if there is none. @return Exit code. */
+ExitCode printAnswer(const Outcome<Json> &Answer, const AdminTarget &Target,
+                     std::string (*Format)(const Json &)) {
   if (Answer.Value) {
     std::cout << (Target.AsJson ? Answer.Value->dump(2) + "\n"
-                                : Show(*Answer.Value));
+                                : Format(*Answer.Value));
     return ExitDone;
   }
   std::cerr << "jacinthpond: " << Answer.Why.Detail << "\n";
@@ -113,17 +132,19 @@
 
 } // namespace
 
-bool asksEntry(const std::string &Command) {
+bool isEntryCommand(const std::string &Command) {
   return findCommand(Command) != nullptr;
 }
 
-ExitCode askEntry(const std::string &Command, const AdminTarget &Target) {
+ExitCode runEntryCommand(const std::string &Command,
+                         const AdminTarget &Target) {
   const CommandSpec &Spec = *findCommand(Command);
-  return show(outcomeOf([&] { return ask(Target, Spec.Path, nullptr); }),
-              Target, Spec.Show);
+  return printAnswer(
+      outcomeOf([&] { return requestAdminApi(Target, Spec.Path, nullptr); }),
+      Target, Spec.Format);
 }
 
-ExitCode checkFile(const std::string &Path) {
+ExitCode checkDocumentFile(const std::string &Path) {
   const auto Read = outcomeOf([&]() -> Result<DocumentPtr> {
     BOOST_LEAF_AUTO(Text, readFile(Path));
     return parseDocument(Text);
@@ -137,16 +158,20 @@
   return Read.Why.Kind == ErrorKind::NotFound ? ExitFailed : ExitInvalid;
 }
 
-ExitCode checkAgainst(const std::string &Path, const AdminTarget &Target) {
-  // Faults are told here, with all lines, before anybody is asked.
+ExitCode compareWithEntry(const std::string &Path, const AdminTarget &Target) {
+  // Errors in the document are printed here, all of them, before the entry is
+  // queried.
   const auto Text = outcomeOf([&] { return readFile(Path); });
   if (!Text.Value)
-    return checkFile(Path);
-  const ExitCode Valid = checkFile(Path);
+    return checkDocumentFile(Path);
+  const ExitCode Valid = checkDocumentFile(Path);
   if (Valid != ExitDone)
     return Valid;
-  return show(outcomeOf([&] { return ask(Target, "/v1/check", &*Text.Value); }),
-              Target, changeText);
+  return printAnswer(outcomeOf([&] {
+                       return requestAdminApi(Target, "/v1/check",
+                                              &*Text.Value);
+                     }),
+                     Target, changeText);
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/operator_commands.h
+++ b/packages/entry/src/operator_commands.h
@@ -1,4 +1,4 @@
-/** @file operator_commands.h The operators' commands of jacinthpond. */
+/** @file operator_commands.h Commands of jacinthpond for operators. */
 
 #ifndef JACINTHPOND_ENTRY_OPERATOR_COMMANDS_H
 #define JACINTHPOND_ENTRY_OPERATOR_COMMANDS_H
@@ -9,45 +9,46 @@
 
 namespace jacinthpond {
 
-/** Environment variable that may hold the token. */
+/** Environment variable with the token, for use without --token-file. */
 constexpr const char *TokenVariable = "JACINTHPOND_TOKEN";
 
-/** Where and how to ask a running entry. */
+/** Address of a running entry and options of a command that queries it. */
 struct AdminTarget {
   std::string Admin;     ///< "IP:port" of its administration API.
-  std::string TokenFile; ///< File with the token; empty: the environment.
-  bool AsJson = false;   ///< Print the answer as it came.
+  std::string TokenFile; ///< File with the token; empty: use TokenVariable.
+  bool AsJson = false;   ///< Print the answer as JSON.
 };
 
 /**
- * Says whether a word names a command that asks a running entry.
- * @param Command The word.
+ * Says whether a command queries a running entry.
+ * @param Command Name of the command.
  * @return True for "status", "domains" and "config".
  */
-bool asksEntry(const std::string &Command);
+bool isEntryCommand(const std::string &Command);
 
 /**
- * Asks a running entry and prints its answer.
+ * Queries a running entry and prints its answer.
  * @param Command "status", "domains" or "config".
- * @param Target Whom to ask.
+ * @param Target The entry.
  * @return Exit code.
  */
-ExitCode askEntry(const std::string &Command, const AdminTarget &Target);
+ExitCode runEntryCommand(const std::string &Command, const AdminTarget &Target);
 
 /**
- * Validates a document.
- * @param Path Its file.
+ * Validates a configuration document and prints the result.
+ * @param Path File with the document.
  * @return Exit code.
  */
-ExitCode checkFile(const std::string &Path);
+ExitCode checkDocumentFile(const std::string &Path);
 
 /**
- * Shows what publishing a document would change.
- * @param Path Its file.
+ * Validates a configuration document and prints what would change, compared
+ * with the document in force at an entry, if it were published.
+ * @param Path File with the document.
  * @param Target A running entry.
  * @return Exit code.
  */
-ExitCode checkAgainst(const std::string &Path, const AdminTarget &Target);
+ExitCode compareWithEntry(const std::string &Path, const AdminTarget &Target);
 
 } // namespace jacinthpond
 
--- a/packages/entry/src/table/entry_metric_table.h
+++ b/packages/entry/src/table/entry_metric_table.h
@@ -1,4 +1,4 @@
-/** @file table/entry_metric_table.h One row for each plain counter. */
+/** @file table/entry_metric_table.h Metrics that are single counters. */
 
 #ifndef JACINTHPOND_ENTRY_TABLE_ENTRY_METRIC_TABLE_H
 #define JACINTHPOND_ENTRY_TABLE_ENTRY_METRIC_TABLE_H
@@ -10,12 +10,13 @@
 
 namespace jacinthpond {
 
-/** Where a counter of the page comes from. */
+/** A metric and the member of EntryCounters that it shows. */
 struct EntryCounterSpec {
-  MetricSpec Spec;                  ///< Name and help.
+  MetricSpec Spec;                  ///< Name and help text.
   uint64_t EntryCounters::*Counter; ///< The counter.
 };
 
+/** One row for each counter without labels. */
 inline const std::array EntryCounterTable = {
     EntryCounterSpec{{"jacinthpond_requests_total", "Requests taken."},
                      &EntryCounters::Calls},
