--- a/packages/entry/src/status_json.cpp
+++ b/packages/entry/src/status_json.cpp
@@ -1,4 +1,4 @@
-/** @file status_json.cpp The administration API's answers as JSON. */
+/** @file status_json.cpp JSON answers of the administration API. */
 
 #include "status_json.h"
 
@@ -13,75 +13,85 @@
 
 namespace {
 
-constexpr std::array<const char *, 5> StateNames = {
+/** Names in answers, in the order of WorkerState. */
+constexpr std::array<const char *, 5> WorkerStateNames = {
     "empty", "loading", "warming", "serving", "leaving"};
 
+/** Converts each element of a list with ToJson into an element of an array. */
 template <typename List, typename Function>
-Json listOf(const List &All, Function &&One) {
-  Json Listed = Json::array();
-  std::ranges::transform(All, std::back_inserter(Listed), One);
-  return Listed;
+Json jsonArray(const List &Source, Function &&ToJson) {
+  Json Items = Json::array();
+  std::ranges::transform(Source, std::back_inserter(Items), ToJson);
+  return Items;
 }
 
-Json processJson(const ProcessStatus &One) {
-  return {{"name", One.Name.Value},
-          {"kind", One.Kind == Role::Entry ? "entry" : "agent"},
-          {"domain", One.Domain.Value},
-          {"seen", One.Seen},
-          {"version", One.Version.Value},
-          {"digest", One.ConfigDigest.Value},
-          {"in_force_ms", One.InForceFor.count()}};
+/** Formats the configuration in force at a process. */
+Json processJson(const ProcessStatus &Item) {
+  return {{"name", Item.Name.Value},
+          {"kind", Item.Kind == Role::Entry ? "entry" : "agent"},
+          {"domain", Item.Domain.Value},
+          {"seen", Item.Seen},
+          {"version", Item.Version.Value},
+          {"digest", Item.ConfigDigest.Value},
+          {"in_force_ms", Item.InForceFor.count()}};
 }
 
-Json domainJson(const DomainStatus &One) {
-  return {{"name", One.Name.Value}, {"out", One.Out},
-          {"workers", One.Workers}, {"serving", One.Serving},
-          {"unseen", One.Unseen},   {"running", One.Running},
-          {"waiting", One.Waiting}, {"remaining", One.Running + One.Waiting}};
+/** Formats a failure domain with its workers and requests. */
+Json domainJson(const DomainStatus &Item) {
+  return {
+      {"name", Item.Name.Value}, {"out", Item.Out},
+      {"workers", Item.Workers}, {"serving", Item.Serving},
+      {"unseen", Item.Unseen},   {"running", Item.Running},
+      {"waiting", Item.Waiting}, {"remaining", Item.Running + Item.Waiting}};
 }
 
-Json modelJson(const ModelStatus &One) {
-  return {{"name", One.Name.Value},
-          {"version", One.Version},
-          {"weights", One.Set.Value},
-          {"workers", One.Workers},
-          {"loaded", One.Loaded},
-          {"chunks_held", One.ChunksHeld},
-          {"chunks_wanted", One.ChunksWanted}};
+/** Formats how far the wanted weights of a model have spread. */
+Json modelJson(const ModelStatus &Item) {
+  return {{"name", Item.Name.Value},
+          {"version", Item.Version},
+          {"weights", Item.Set.Value},
+          {"workers", Item.Workers},
+          {"loaded", Item.Loaded},
+          {"chunks_held", Item.ChunksHeld},
+          {"chunks_wanted", Item.ChunksWanted}};
 }
 
-Json classJson(const ClassStatus &One) {
-  return {{"name", One.Name.Value}, {"workers", One.Workers},
-          {"serving", One.Serving}, {"running", One.Running},
-          {"waiting", One.Waiting}, {"limit", One.Limit}};
+/** Formats a class with its workers and requests. */
+Json classJson(const ClassStatus &Item) {
+  return {{"name", Item.Name.Value}, {"workers", Item.Workers},
+          {"serving", Item.Serving}, {"running", Item.Running},
+          {"waiting", Item.Waiting}, {"limit", Item.Limit}};
 }
 
-Json workerJson(const WorkerStatus &One) {
-  const char *State = StateNames.at(static_cast<size_t>(One.Load.State));
-  return {{"name", One.Name.Value},
-          {"domain", One.Domain.Value},
-          {"model", One.Model.Value},
-          {"service", One.Service.Value},
-          {"state", !One.Seen     ? "unseen"
-                    : One.Leaving ? "leaving"
-                                  : State},
-          {"running", One.Load.Running},
-          {"waiting", One.Load.Waiting},
-          {"limit", One.Load.Limit},
-          {"weights", One.Load.Weights.Value},
-          {"chunks_held", One.Load.ChunksHeld},
-          {"chunks_wanted", One.Load.ChunksWanted}};
+/** Formats a worker with its state and load. */
+Json workerJson(const WorkerStatus &Item) {
+  const char *State = WorkerStateNames.at(static_cast<size_t>(Item.Load.State));
+  return {{"name", Item.Name.Value},
+          {"domain", Item.Domain.Value},
+          {"model", Item.Model.Value},
+          {"service", Item.Service.Value},
+          {"state", !Item.Seen     ? "unseen"
+                    : Item.Leaving ? "leaving"
+                                   : State},
+          {"running", Item.Load.Running},
+          {"waiting", Item.Load.Waiting},
+          {"limit", Item.Load.Limit},
+          {"weights", Item.Load.Weights.Value},
+          {"chunks_held", Item.Load.ChunksHeld},
+          {"chunks_wanted", Item.Load.ChunksWanted}};
 }
 
-Json suspectJson(const SuspectStatus &One) {
-  return {{"fingerprint", One.Fingerprint.Value},
-          {"deaths", One.Deaths},
-          {"proven", One.Proven},
-          {"refused_for_ms", One.RefusedFor.count()}};
+/** Formats a quarantined request. */
+Json suspectJson(const SuspectStatus &Item) {
+  return {{"fingerprint", Item.Fingerprint.Value},
+          {"deaths", Item.Deaths},
+          {"proven", Item.Proven},
+          {"refused_for_ms", Item.RefusedFor.count()}};
 }
 
-Json tenantJson(const TenantStatus &One) {
-  return {{"name", One.Name.Value}, {"open_requests", One.OpenRequests}};
+/** Formats a workspace with its open requests. */
+Json tenantJson(const TenantStatus &Item) {
+  return {{"name", Item.Name.Value}, {"open_requests", Item.OpenRequests}};
 }
 
 } // namespace
@@ -89,23 +99,23 @@
 Json statusJson(const FleetStatus &Status) {
   return {{"entry", processJson(Status.Self)},
           {"open_requests", Status.OpenRequests},
-          {"domains", listOf(Status.Domains, domainJson)},
-          {"models", listOf(Status.Models, modelJson)},
-          {"classes", listOf(Status.Classes, classJson)},
-          {"tenants", listOf(Status.Tenants, tenantJson)},
-          {"workers", listOf(Status.Workers, workerJson)}};
+          {"domains", jsonArray(Status.Domains, domainJson)},
+          {"models", jsonArray(Status.Models, modelJson)},
+          {"classes", jsonArray(Status.Classes, classJson)},
+          {"tenants", jsonArray(Status.Tenants, tenantJson)},
+          {"workers", jsonArray(Status.Workers, workerJson)}};
 }
 
 Json domainsJson(const FleetStatus &Status) {
-  return {{"domains", listOf(Status.Domains, domainJson)}};
+  return {{"domains", jsonArray(Status.Domains, domainJson)}};
 }
 
 Json configJson(const FleetStatus &Status) {
-  return {{"processes", listOf(Status.Processes, processJson)}};
+  return {{"processes", jsonArray(Status.Processes, processJson)}};
 }
 
 Json workersJson(const FleetStatus &Status) {
-  return {{"workers", listOf(Status.Workers, workerJson)}};
+  return {{"workers", jsonArray(Status.Workers, workerJson)}};
 }
 
 Json refusalsJson(const FleetStatus &Status) {
@@ -116,15 +126,15 @@
           {"documents_refused", Status.Refusals.DocumentsRefused},
           {"document_conflicts", Status.Refusals.DocumentConflicts},
           {"last_document_refusal", Status.Refusals.LastRefusal},
-          {"quarantine", listOf(Status.Refusals.Suspects, suspectJson)}};
+          {"quarantine", jsonArray(Status.Refusals.Suspects, suspectJson)}};
 }
 
 Json changeJson(const DocumentChange &Change) {
   Json Lists = Json::object();
-  for (const ListChange &One : Change.Lists)
-    Lists[One.List] = {{"added", One.Added},
-                       {"removed", One.Removed},
-                       {"changed", One.Changed}};
+  for (const ListChange &Item : Change.Lists)
+    Lists[Item.List] = {{"added", Item.Added},
+                        {"removed", Item.Removed},
+                        {"changed", Item.Changed}};
   return {{"in_force", Change.InForce.Value},
           {"candidate", Change.Candidate.Value},
           {"would_apply", Change.WouldApply},
--- a/packages/entry/src/status_json.h
+++ b/packages/entry/src/status_json.h
@@ -1,4 +1,4 @@
-/** @file status_json.h The administration API's answers as JSON. */
+/** @file status_json.h JSON answers of the administration API. */
 
 #ifndef JACINTHPOND_ENTRY_STATUS_JSON_H
 #define JACINTHPOND_ENTRY_STATUS_JSON_H
@@ -11,43 +11,44 @@
 namespace jacinthpond {
 
 /**
- * Gives everything, for /v1/status.
- * @param Status What the reader may see.
+ * Formats the whole status, for /v1/status.
+ * @param Status The status, as far as the client may see it.
  * @return JSON object.
  */
 nlohmann::json statusJson(const FleetStatus &Status);
 
 /**
- * Gives the domains, for /v1/domains.
- * @param Status What the reader may see.
+ * Formats the failure domains, for /v1/domains.
+ * @param Status The status, as far as the client may see it.
  * @return JSON object.
  */
 nlohmann::json domainsJson(const FleetStatus &Status);
 
 /**
- * Gives what is in force in every process, for /v1/config.
- * @param Status What the reader may see.
+ * Formats the configuration version in force in each process, for /v1/config.
+ * @param Status The status, as far as the client may see it.
  * @return JSON object.
  */
 nlohmann::json configJson(const FleetStatus &Status);
 
 /**
- * Gives the workers, for /v1/workers.
- * @param Status What the reader may see.
+ * Formats the workers, for /v1/workers.
+ * @param Status The status, as far as the client may see it.
  * @return JSON object.
  */
 nlohmann::json workersJson(const FleetStatus &Status);
 
 /**
- * Gives the refusals, for /v1/refusals.
- * @param Status What the reader may see.
+ * Formats errors, refused documents and quarantined requests, for
+ * /v1/refusals.
+ * @param Status The status, as far as the client may see it.
  * @return JSON object.
  */
 nlohmann::json refusalsJson(const FleetStatus &Status);
 
 /**
- * Gives the effect of a candidate, for /v1/check.
- * @param Change What it would change.
+ * Formats what a candidate document would change, for /v1/check.
+ * @param Change The changes.
  * @return JSON object.
  */
 nlohmann::json changeJson(const DocumentChange &Change);
--- a/packages/entry/src/status_view.cpp
+++ b/packages/entry/src/status_view.cpp
@@ -1,4 +1,4 @@
-/** @file status_view.cpp The administration API's answers for people. */
+/** @file status_view.cpp Answers of the administration API as text tables. */
 
 #include "status_view.h"
 
@@ -12,12 +12,14 @@
 
 using Cells = std::vector<std::string>;
 
+/** Width of a progress bar, in characters. */
 constexpr size_t BarWidth = 20;
-/** Digits of a digest that are shown; enough to tell two apart. */
-constexpr size_t ShownDigits = 12;
+/** Digits of a digest that are shown; enough to distinguish digests. */
+constexpr size_t ShortDigestLength = 12;
 constexpr int64_t MillisPerSecond = 1000;
 
-std::string textOf(const Json &Row, const char *Key) {
+/** Formats a field of a row; "-" when it is missing or empty. */
+std::string fieldText(const Json &Row, const char *Key) {
   const auto it = Row.find(Key);
   if (it == Row.end())
     return "-";
@@ -27,79 +29,90 @@
   return Text.empty() ? "-" : Text;
 }
 
+/** Returns the first digits of a digest. */
 std::string shortDigest(const Json &Row, const char *Key) {
-  return textOf(Row, Key).substr(0, ShownDigits);
+  return fieldText(Row, Key).substr(0, ShortDigestLength);
 }
 
-uint64_t numberOf(const Json &Row, const char *Key) {
+/** Returns a number of a row; 0 when it is missing or not unsigned. */
+uint64_t fieldNumber(const Json &Row, const char *Key) {
   const auto it = Row.find(Key);
   return it != Row.end() && it->is_number_unsigned() ? it->get<uint64_t>() : 0;
 }
 
-std::string secondsOf(const Json &Row, const char *Key) {
+/** Formats a time in milliseconds as whole seconds; "-" when it is missing. */
+std::string fieldSeconds(const Json &Row, const char *Key) {
   const auto it = Row.find(Key);
   if (it == Row.end() || !it->is_number_integer())
     return "-";
   return std::to_string(it->get<int64_t>() / MillisPerSecond) + " s";
 }
 
-/** Gives a list's rows; empty when the answer lacks it. */
-const Json &listOf(const Json &Status, const char *Key) {
-  static const Json Nothing = Json::array();
+/** Returns the rows of a list; an empty list when the answer lacks it. */
+const Json &fieldRows(const Json &Status, const char *Key) {
+  static const Json Empty = Json::array();
   const auto it = Status.find(Key);
-  return it != Status.end() && it->is_array() ? *it : Nothing;
+  return it != Status.end() && it->is_array() ? *it : Empty;
 }
 
+/** Formats a list as a table; ToCells turns an element into a row. */
 template <typename Function>
-std::string table(const Json &List, Cells Heading, Function &&RowOf) {
+std::string formatTable(const Json &List, Cells Heading, Function &&ToCells) {
   std::vector<Cells> Rows{std::move(Heading)};
-  std::ranges::transform(List, std::back_inserter(Rows), RowOf);
+  std::ranges::transform(List, std::back_inserter(Rows), ToCells);
   return alignColumns(Rows);
 }
 
+/** Formats the models and how far their weights have spread. */
 std::string modelsText(const Json &Status) {
-  return table(listOf(Status, "models"),
-               {"MODEL", "VERSION", "WEIGHTS", "LOADED", "TRANSFER"},
-               [](const Json &Row) -> Cells {
-                 return {textOf(Row, "name"), textOf(Row, "version"),
-                         shortDigest(Row, "weights"),
-                         textOf(Row, "loaded") + "/" + textOf(Row, "workers"),
-                         progressBar(numberOf(Row, "chunks_held"),
-                                     numberOf(Row, "chunks_wanted"))};
-               });
-}
-
+  return formatTable(
+      fieldRows(Status, "models"),
+      {"MODEL", "VERSION", "WEIGHTS", "LOADED", "TRANSFER"},
+      [](const Json &Row) -> Cells {
+        return {fieldText(Row, "name"), fieldText(Row, "version"),
+                shortDigest(Row, "weights"),
+                fieldText(Row, "loaded") + "/" + fieldText(Row, "workers"),
+                progressBar(fieldNumber(Row, "chunks_held"),
+                            fieldNumber(Row, "chunks_wanted"))};
+      });
+}
+
+/** Formats the classes with their workers and requests. */
 std::string classesText(const Json &Status) {
-  return table(listOf(Status, "classes"),
-               {"CLASS", "SERVING", "RUNNING", "LIMIT", "WAITING"},
-               [](const Json &Row) -> Cells {
-                 return {textOf(Row, "name"),
-                         textOf(Row, "serving") + "/" + textOf(Row, "workers"),
-                         textOf(Row, "running"), textOf(Row, "limit"),
-                         textOf(Row, "waiting")};
-               });
-}
-
+  return formatTable(
+      fieldRows(Status, "classes"),
+      {"CLASS", "SERVING", "RUNNING", "LIMIT", "WAITING"},
+      [](const Json &Row) -> Cells {
+        return {fieldText(Row, "name"),
+                fieldText(Row, "serving") + "/" + fieldText(Row, "workers"),
+                fieldText(Row, "running"), fieldText(Row, "limit"),
+                fieldText(Row, "waiting")};
+      });
+}
+
+/** Formats the workers with their load and weights. */
 std::string workersText(const Json &Status) {
-  return table(listOf(Status, "workers"),
-               {"WORKER", "DOMAIN", "STATE", "RUNNING", "LIMIT", "WAITING",
-                "WEIGHTS", "TRANSFER"},
-               [](const Json &Row) -> Cells {
-                 const uint64_t Wanted = numberOf(Row, "chunks_wanted");
-                 return {textOf(Row, "name"),
-                         textOf(Row, "domain"),
-                         textOf(Row, "state"),
-                         textOf(Row, "running"),
-                         textOf(Row, "limit"),
-                         textOf(Row, "waiting"),
-                         shortDigest(Row, "weights"),
-                         Wanted == 0 ? "-"
-                                     : progressBar(numberOf(Row, "chunks_held"),
-                                                   Wanted)};
-               });
-}
-
-std::string namesOf(const Json &List) {
+  return formatTable(
+      fieldRows(Status, "workers"),
+      {"WORKER", "DOMAIN", "STATE", "RUNNING", "LIMIT", "WAITING", "WEIGHTS",
+       "TRANSFER"},
+      [](const Json &Row) -> Cells {
+        const uint64_t Wanted = fieldNumber(Row, "chunks_wanted");
+        return {fieldText(Row, "name"),
+                fieldText(Row, "domain"),
+                fieldText(Row, "state"),
+                fieldText(Row, "running"),
+                fieldText(Row, "limit"),
+                fieldText(Row, "waiting"),
+                shortDigest(Row, "weights"),
+                Wanted == 0
+                    ? "-"
+                    : progressBar(fieldNumber(Row, "chunks_held"), Wanted)};
+      });
+}
+
+/** Joins names; each has a space in front. */
+std::string joinNames(const Json &List) {
   std::string All;
   for (const Json &One : List)
     if (One.is_string())
@@ -111,13 +124,14 @@
 
 std::string progressBar(uint64_t Done, uint64_t All) {
   constexpr uint64_t Hundred = 100;
-  // Rounded down: only what is whole may look whole.
-  const uint64_t Kept = std::min(Done, All);
-  const size_t Full = All == 0 ? BarWidth : Kept * BarWidth / All;
-  const std::string Share =
-      std::to_string(All == 0 ? Hundred : Kept * Hundred / All);
-  return "[" + std::string(Full, '#') + std::string(BarWidth - Full, '.') +
-         "] " + std::string(3 - Share.size(), ' ') + Share + "%";
+  // Rounded down, so that 100% and a full bar are shown only when all is done.
+  const uint64_t Capped = std::min(Done, All);
+  const size_t FilledWidth = All == 0 ? BarWidth : Capped * BarWidth / All;
+  const std::string Percent =
+      std::to_string(All == 0 ? Hundred : Capped * Hundred / All);
+  return "[" + std::string(FilledWidth, '#') +
+         std::string(BarWidth - FilledWidth, '.') + "] " +
+         std::string(3 - Percent.size(), ' ') + Percent + "%";
 }
 
 std::string alignColumns(const std::vector<Cells> &Rows) {
@@ -140,46 +154,47 @@
 
 std::string statusText(const Json &Status) {
   const Json Self = Status.value("entry", Json::object());
-  return textOf(Self, "name") + ": version " + textOf(Self, "version") + " (" +
-         shortDigest(Self, "digest") + ") in force for " +
-         secondsOf(Self, "in_force_ms") + ", " +
-         textOf(Status, "open_requests") + " requests open\n\n" +
+  return fieldText(Self, "name") + ": version " + fieldText(Self, "version") +
+         " (" + shortDigest(Self, "digest") + ") in force for " +
+         fieldSeconds(Self, "in_force_ms") + ", " +
+         fieldText(Status, "open_requests") + " requests open\n\n" +
          domainsText(Status) + "\n" + modelsText(Status) + "\n" +
          classesText(Status) + "\n" + workersText(Status);
 }
 
 std::string domainsText(const Json &Status) {
-  return table(listOf(Status, "domains"),
-               {"DOMAIN", "STATE", "SERVING", "UNSEEN", "RUNNING", "WAITING",
-                "REMAINING"},
-               [](const Json &Row) -> Cells {
-                 return {textOf(Row, "name"),
-                         Row.value("out", false) ? "out" : "in",
-                         textOf(Row, "serving") + "/" + textOf(Row, "workers"),
-                         textOf(Row, "unseen"),
-                         textOf(Row, "running"),
-                         textOf(Row, "waiting"),
-                         textOf(Row, "remaining")};
-               });
+  return formatTable(fieldRows(Status, "domains"),
+                     {"DOMAIN", "STATE", "SERVING", "UNSEEN", "RUNNING",
+                      "WAITING", "REMAINING"},
+                     [](const Json &Row) -> Cells {
+                       return {fieldText(Row, "name"),
+                               Row.value("out", false) ? "out" : "in",
+                               fieldText(Row, "serving") + "/" +
+                                   fieldText(Row, "workers"),
+                               fieldText(Row, "unseen"),
+                               fieldText(Row, "running"),
+                               fieldText(Row, "waiting"),
+                               fieldText(Row, "remaining")};
+                     });
 }
 
 std::string configText(const Json &Status) {
-  return table(listOf(Status, "processes"),
-               {"PROCESS", "KIND", "DOMAIN", "VERSION", "DIGEST", "SINCE"},
-               [](const Json &Row) -> Cells {
-                 if (!Row.value("seen", false))
-                   return {textOf(Row, "name"), textOf(Row, "kind"),
-                           textOf(Row, "domain"), "unseen"};
-                 return {
-                     textOf(Row, "name"),        textOf(Row, "kind"),
-                     textOf(Row, "domain"),      textOf(Row, "version"),
-                     shortDigest(Row, "digest"), secondsOf(Row, "in_force_ms")};
-               });
+  return formatTable(
+      fieldRows(Status, "processes"),
+      {"PROCESS", "KIND", "DOMAIN", "VERSION", "DIGEST", "SINCE"},
+      [](const Json &Row) -> Cells {
+        if (!Row.value("seen", false))
+          return {fieldText(Row, "name"), fieldText(Row, "kind"),
+                  fieldText(Row, "domain"), "unseen"};
+        return {fieldText(Row, "name"),     fieldText(Row, "kind"),
+                fieldText(Row, "domain"),   fieldText(Row, "version"),
+                shortDigest(Row, "digest"), fieldSeconds(Row, "in_force_ms")};
+      });
 }
 
 std::string changeText(const Json &Change) {
-  std::string Text = "version " + textOf(Change, "in_force") + " -> " +
-                     textOf(Change, "candidate") +
+  std::string Text = "version " + fieldText(Change, "in_force") + " -> " +
+                     fieldText(Change, "candidate") +
                      (Change.value("would_apply", false)
                           ? ""
                           : " (would not apply: not above that in force)") +
@@ -187,11 +202,11 @@
   const Json Lists = Change.value("changes", Json::object());
   for (const auto &List : Lists.items())
     for (const char *What : {"added", "removed", "changed"})
-      if (const std::string Names = namesOf(listOf(List.value(), What));
+      if (const std::string Names = joinNames(fieldRows(List.value(), What));
           !Names.empty())
         Text += List.key() + " " + What + ":" + Names + "\n";
   return Text + "workers that would load new weights: " +
-         textOf(Change, "workers_to_load") + "\n";
+         fieldText(Change, "workers_to_load") + "\n";
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/status_view.h
+++ b/packages/entry/src/status_view.h
@@ -1,4 +1,4 @@
-/** @file status_view.h The administration API's answers for people. */
+/** @file status_view.h Answers of the administration API as text tables. */
 
 #ifndef JACINTHPOND_ENTRY_STATUS_VIEW_H
 #define JACINTHPOND_ENTRY_STATUS_VIEW_H
@@ -11,45 +11,45 @@
 namespace jacinthpond {
 
 /**
- * Draws how far something has come.
- * @param Done How much is done.
- * @param All How much there is to do; 0 counts as done.
- * @return A bar of fixed width and the share, as in "[####......]  40%".
+ * Formats progress as a bar of text.
+ * @param Done Units that are done.
+ * @param All All units; 0 counts as done.
+ * @return A bar of fixed width and the percentage, as in "[####......]  40%".
  */
 std::string progressBar(uint64_t Done, uint64_t All);
 
 /**
- * Sets rows in columns.
- * @param Rows The first one is the heading.
- * @return One line for each row.
+ * Formats rows as a table with aligned columns.
+ * @param Rows Cells of each row; the first row is the heading.
+ * @return The table, a line for each row.
  */
 std::string alignColumns(const std::vector<std::vector<std::string>> &Rows);
 
 /**
- * Shows the whole status.
+ * Formats the whole status.
  * @param Status Answer of /v1/status.
- * @return Tables.
+ * @return A summary line and tables.
  */
 std::string statusText(const nlohmann::json &Status);
 
 /**
- * Shows the domains.
+ * Formats the failure domains.
  * @param Status Answer of /v1/domains or /v1/status.
  * @return A table.
  */
 std::string domainsText(const nlohmann::json &Status);
 
 /**
- * Shows what is in force in every process.
+ * Formats the configuration version in force in each process.
  * @param Status Answer of /v1/config.
  * @return A table.
  */
 std::string configText(const nlohmann::json &Status);
 
 /**
- * Shows the effect of a candidate document.
+ * Formats what a candidate document would change.
  * @param Change Answer of /v1/check.
- * @return Some lines.
+ * @return One or more lines.
  */
 std::string changeText(const nlohmann::json &Change);
 
--- a/packages/entry/src/weights_health.cpp
+++ b/packages/entry/src/weights_health.cpp
@@ -1,4 +1,4 @@
-/** @file weights_health.cpp What an entry sees of the spread of weights. */
+/** @file weights_health.cpp Distribution of weights as an entry sees it. */
 
 #include "weights_health.h"
 
--- a/packages/entry/src/weights_health.h
+++ b/packages/entry/src/weights_health.h
@@ -1,4 +1,4 @@
-/** @file weights_health.h What an entry sees of the spread of weights. */
+/** @file weights_health.h Distribution of weights as an entry sees it. */
 
 #ifndef JACINTHPOND_ENTRY_WEIGHTS_HEALTH_H
 #define JACINTHPOND_ENTRY_WEIGHTS_HEALTH_H
@@ -10,10 +10,10 @@
 namespace jacinthpond {
 
 /**
- * Sums up what agents say of their weights.
+ * Sums up the weights that agents report, for /v1/health.
  * @param Entry State of the entry.
- * @return "replicas": workers that would admit a request, by digest of their
- *         weights; and bytes of chunks by where they came from.
+ * @return "replicas": number of workers that admit requests, by digest of their
+ *         weights; and sums of chunks and of transferred bytes by source.
  */
 nlohmann::json weightsHealth(const EntryState &Entry);
 
