--- a/packages/entry/src/admin_api.h
+++ b/packages/entry/src/admin_api.h
@@ -58,7 +58,8 @@
   using RequestHandler =
       std::function<void(const httplib::Request &, httplib::Response &)>;
 
-  /** Adds /v1/health and /metrics, which need no token. */
+  /** Adds /v1/health and /metrics, which need no token; /metrics shows the
+   * metrics of a workspace only to its team. */
   void addPublicPaths();
   /**
    * Adds a path that shows the status as far as the client's team may see it.
--- a/packages/entry/src/entry_shell.cpp
+++ b/packages/entry/src/entry_shell.cpp
@@ -98,8 +98,8 @@
   Loop.stop();
   if (Control.joinable())
     Control.join();
-  if (Reader.joinable())
-    Reader.join();
+  if (ConfigReader.joinable())
+    ConfigReader.join();
   if (HostsReader.joinable())
     HostsReader.join();
 }
@@ -117,7 +117,7 @@
       performEffects(std::move(Out));
     });
   });
-  Reader = std::thread([this] { runConfigReader(); });
+  ConfigReader = std::thread([this] { runConfigReader(); });
   if (Hosts != nullptr)
     HostsReader = std::thread([this] { runHostsReader(); });
   return At;
--- a/packages/entry/src/entry_shell.h
+++ b/packages/entry/src/entry_shell.h
@@ -159,9 +159,9 @@
   std::mutex StopGuard;                  ///< Held to set StopThreads.
   std::condition_variable StopRequested; ///< StopThreads was set.
   PeerLinks Links;
-  std::thread Control;     ///< Runs Loop.
-  std::thread Reader;      ///< Runs runConfigReader().
-  std::thread HostsReader; ///< Runs runHostsReader().
+  std::thread Control;      ///< Runs Loop.
+  std::thread ConfigReader; ///< Runs runConfigReader().
+  std::thread HostsReader;  ///< Runs runHostsReader().
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/main.cpp
+++ b/packages/entry/src/main.cpp
@@ -47,11 +47,11 @@
   if (!Config->CallerListen.empty())
     Callers.emplace(*Config, Shell);
   AdminApi Admin(*Config, Shell);
-  const bool Routing = !OnStore || Routes.start();
+  const bool RoutesStarted = !OnStore || Routes.start();
   const std::string Peers = Shell.start();
   const std::string CallersAt = Callers ? Callers->start() : "none";
   const std::string AdminAt = Admin.start();
-  if (!Routing || Peers.empty() || CallersAt.empty() || AdminAt.empty()) {
+  if (!RoutesStarted || Peers.empty() || CallersAt.empty() || AdminAt.empty()) {
     logLine(LogPart::Main, LogLevel::Error, "A listening address is taken.");
     return ExitFailed;
   }
