--- a/packages/entry/src/forward/back_end_call.cpp
+++ b/packages/entry/src/forward/back_end_call.cpp
@@ -1,4 +1,4 @@
-/** @file back_end_call.cpp One request on one connection to a back end. */
+/** @file back_end_call.cpp One HTTP request to a back end and its response. */
 
 #include "forward/back_end_call.h"
 
@@ -23,33 +23,34 @@
 
 namespace {
 
-/** Bytes read at a time; an event of a stream has a few hundred. */
+/** Size of one read; an event of a stream has a few hundred bytes. */
 constexpr size_t ReadBytes = 4096;
-/** Idle time of a connection whose back end says nothing about it. */
-constexpr Millis UsualKeep{4000};
-/** Part of the idle time that a back end tells which is made use of: what is
- * sent at the end of it would cross the back end's close. */
-constexpr double KeepPart = 0.5;
+/** Idle limit for back ends that don't send a Keep-Alive timeout. */
+constexpr Millis DefaultIdleLimit{4000};
+/** Share of the announced Keep-Alive timeout that is used: a request sent near
+ * the end of it could cross the back end's close. */
+constexpr double IdleLimitShare = 0.5;
 
-/** Reads "timeout=N" of a Keep-Alive header. */
-Millis keepTime(const ResponseHead &Head) {
+/** Computes how long a connection may stay idle from "timeout=N", in seconds,
+ * of the Keep-Alive header. */
+Millis idleLimit(const ResponseHead &Head) {
   const auto it = Head.find(http::field::keep_alive);
   if (it == Head.end())
-    return UsualKeep;
+    return DefaultIdleLimit;
   constexpr std::string_view Name = "timeout=";
   const std::string_view Value(it->value().data(), it->value().size());
   const size_t At = Value.find(Name);
   if (At == std::string_view::npos)
-    return UsualKeep;
+    return DefaultIdleLimit;
   int64_t Seconds = 0;
   const char *Begin = Value.data() + At + Name.size();
   std::from_chars(Begin, Value.data() + Value.size(), Seconds);
-  return Millis(
-      static_cast<int64_t>(1000 * KeepPart * static_cast<double>(Seconds)));
+  return Millis(static_cast<int64_t>(1000 * IdleLimitShare *
+                                     static_cast<double>(Seconds)));
 }
 
-/** Says whether an idle connection is open and silent, as it has to be. */
-bool stillIdle(BackEndConnection &Idle) {
+/** Says whether a connection is still open and has no unread data. */
+bool isIdle(BackEndConnection &Idle) {
   if (Idle.Buffer.size() > 0)
     return false;
   char Byte = 0;
@@ -62,222 +63,243 @@
 
 } // namespace
 
-std::unique_ptr<BackEndConnection> BackEndConnections::take(const Address &At,
-                                                            TimePoint Now) {
-  const auto it = Kept.find(At);
-  if (it == Kept.end())
+std::unique_ptr<BackEndConnection>
+BackEndConnectionPool::take(const Address &At, TimePoint Now) {
+  const auto it = Connections.find(At);
+  if (it == Connections.end())
     return nullptr;
   while (!it->second.empty()) {
     auto Idle = std::move(it->second.back());
     it->second.pop_back();
-    if (Now - Idle->IdleSince < Idle->KeepFor && stillIdle(*Idle))
+    if (Now - Idle->IdleSince < Idle->IdleLimit && isIdle(*Idle))
       return Idle;
   }
   return nullptr;
 }
 
-void BackEndConnections::keep(std::unique_ptr<BackEndConnection> Idle,
-                              size_t Most) {
-  auto &Row = Kept[Idle->At];
-  if (Row.size() < Most && Idle->KeepFor.count() > 0)
+void BackEndConnectionPool::keep(std::unique_ptr<BackEndConnection> Idle,
+                                 size_t MaxKept) {
+  auto &Row = Connections[Idle->At];
+  if (Row.size() < MaxKept && Idle->IdleLimit.count() > 0)
     Row.push_back(std::move(Idle));
 }
 
-void BackEndConnections::sweep(TimePoint Now) {
-  for (auto &[At, Row] : Kept)
+void BackEndConnectionPool::closeExpired(TimePoint Now) {
+  for (auto &[At, Row] : Connections)
     std::erase_if(Row, [&](const auto &Idle) {
-      return Now - Idle->IdleSince >= Idle->KeepFor;
+      return Now - Idle->IdleSince >= Idle->IdleLimit;
     });
-  std::erase_if(Kept, [](const auto &Row) { return Row.second.empty(); });
+  std::erase_if(Connections,
+                [](const auto &Row) { return Row.second.empty(); });
 }
 
-BackEndCall::BackEndCall(boost::asio::io_context &Io, BackEndConnections &Kept,
-                         CallPlan Plan, CallEvents &Events)
-    : Io(Io), Kept(Kept), Plan(std::move(Plan)), Events(&Events),
+BackEndCall::BackEndCall(boost::asio::io_context &Io,
+                         BackEndConnectionPool &Pool, BackEndRequest Request,
+                         BackEndCallHandler &Handler)
+    : Io(Io), Pool(Pool), Request(std::move(Request)), Handler(&Handler),
       ConnectTimer(Io) {}
 
 void BackEndCall::start(Millis ConnectLimit) {
-  if (!Plan.NewConnection)
-    Link = Kept.take(Plan.To, RuntimeClock().now());
-  Reused = Link != nullptr;
+  if (!Request.ForceNewConnection)
+    OpenConnection = Pool.take(Request.To, RuntimeClock().now());
+  Reused = OpenConnection != nullptr;
   if (Reused)
-    exchange();
+    writeRequest();
   else
     connect(ConnectLimit);
 }
 
+/** Opens a new connection, then sends the request. */
 void BackEndCall::connect(Millis Limit) {
-  // A document holds valid addresses only; port 0 is never reached.
-  const Tcp::endpoint To = endpointOf(Plan.To.Value).value_or(Tcp::endpoint());
-  Link = std::make_unique<BackEndConnection>(
-      BackEndConnection{Tcp::socket(Io), {}, Plan.To, {}, {}});
+  // Addresses in a document are valid; if not, connecting to port 0 fails.
+  const Tcp::endpoint To =
+      parseEndpoint(Request.To.Value).value_or(Tcp::endpoint());
+  OpenConnection = std::make_unique<BackEndConnection>(
+      BackEndConnection{Tcp::socket(Io), {}, Request.To, {}, {}});
   const auto Self = shared_from_this();
   ConnectTimer.expires_after(Limit);
   ConnectTimer.async_wait([Self](const Error &Expired) {
     if (!Expired && !Self->Sent)
-      Self->failed(CallFailure::Unreached);
+      Self->reportFailure(CallFailure::Unreached);
   });
-  Link->Socket.async_connect(To, [Self](const Error &Bad) {
-    if (Self->Events == nullptr)
+  OpenConnection->Socket.async_connect(To, [Self](const Error &Bad) {
+    if (Self->Handler == nullptr)
       return;
     if (Bad) {
-      Self->failed(CallFailure::Unreached);
+      Self->reportFailure(CallFailure::Unreached);
       return;
     }
-    Self->exchange();
+    Self->writeRequest();
   });
 }
 
-void BackEndCall::newParser() {
-  Reading.emplace();
-  Reading->body_limit(boost::none);
-  Reading->eager(true);
-  Reading->skip(Plan.NoBody);
+/** Prepares to parse the next response on the connection. */
+void BackEndCall::resetParser() {
+  ResponseParser.emplace();
+  ResponseParser->body_limit(boost::none);
+  ResponseParser->eager(true);
+  ResponseParser->skip(Request.NoResponseBody);
   HeadDone = false;
-  Foreign = false;
+  ForOtherAttempt = false;
 }
 
-void BackEndCall::exchange() {
+/** Writes the request and starts to read the response. */
+void BackEndCall::writeRequest() {
   Sent = true;
   ConnectTimer.cancel();
-  setTrafficOptions(Link->Socket);
-  newParser();
+  setTrafficOptions(OpenConnection->Socket);
+  resetParser();
   const auto Self = shared_from_this();
-  boost::asio::async_write(Link->Socket, boost::asio::buffer(Plan.Bytes),
+  boost::asio::async_write(OpenConnection->Socket,
+                           boost::asio::buffer(Request.Bytes),
                            [Self](const Error &ec, size_t) {
-                             // A failed write shows in the read as well; a
-                             // back end may have answered before it.
-                             Self->Written = !ec;
+                             // A failed write fails the read too, which
+                             // handles it: a response may have come before.
+                             Self->WriteDone = !ec;
                            });
-  read();
+  readMore();
 }
 
-void BackEndCall::read() {
+/** Reads the next bytes of the response. */
+void BackEndCall::readMore() {
   const auto Self = shared_from_this();
-  Link->Socket.async_read_some(
-      Link->Buffer.prepare(ReadBytes), [Self](const Error &ec, size_t n) {
-        if (Self->Events == nullptr)
+  OpenConnection->Socket.async_read_some(
+      OpenConnection->Buffer.prepare(ReadBytes),
+      [Self](const Error &ec, size_t n) {
+        if (Self->Handler == nullptr)
           return;
         if (!ec) {
-          Self->Heard = true;
-          Self->Link->Buffer.commit(n);
+          Self->ReceivedAny = true;
+          Self->OpenConnection->Buffer.commit(n);
           Self->parse();
           return;
         }
-        // An answer without a length ends with its connection; a reset is no
-        // such end.
+        // A response without a length ends when the connection is closed in
+        // order. A reset doesn't complete it.
         Error Bad;
-        if (ec == boost::asio::error::eof && Self->HeadDone && !Self->Foreign)
-          Self->Reading->put_eof(Bad);
-        if (ec == boost::asio::error::eof && Self->HeadDone && !Self->Foreign &&
-            !Bad && Self->Reading->is_done()) {
-          Self->Link->KeepFor = Millis{0};
-          Self->bodyCame();
-          Self->ended();
+        if (ec == boost::asio::error::eof && Self->HeadDone &&
+            !Self->ForOtherAttempt)
+          Self->ResponseParser->put_eof(Bad);
+        if (ec == boost::asio::error::eof && Self->HeadDone &&
+            !Self->ForOtherAttempt && !Bad && Self->ResponseParser->is_done()) {
+          Self->OpenConnection->IdleLimit = Millis{0};
+          Self->deliverBody();
+          Self->finish();
           return;
         }
-        Self->closed();
+        Self->handleClose();
       });
 }
 
-void BackEndCall::closed() {
-  failed(Reused && !Heard ? CallFailure::Stale : CallFailure::Broken);
+/** Reports a connection that ended before the response was complete. */
+void BackEndCall::handleClose() {
+  reportFailure(Reused && !ReceivedAny ? CallFailure::Stale
+                                       : CallFailure::Broken);
 }
 
+/** Parses the received bytes and passes the response to the handler. */
 void BackEndCall::parse() {
-  while (Events != nullptr) {
+  while (Handler != nullptr) {
     Error ec;
-    const size_t n = Reading->put(Link->Buffer.data(), ec);
-    Link->Buffer.consume(n);
+    const size_t n = ResponseParser->put(OpenConnection->Buffer.data(), ec);
+    OpenConnection->Buffer.consume(n);
     if (ec && ec != http::error::need_more) {
-      failed(CallFailure::Broken);
+      reportFailure(CallFailure::Broken);
       return;
     }
-    if (Reading->is_header_done() && !HeadDone && !headCame())
+    if (ResponseParser->is_header_done() && !HeadDone && !processHead())
       continue;
-    if (Events == nullptr)
+    if (Handler == nullptr)
       return;
-    if (HeadDone && !Foreign)
-      bodyCame();
-    if (Events == nullptr)
+    if (HeadDone && !ForOtherAttempt)
+      deliverBody();
+    if (Handler == nullptr)
       return;
-    if (Reading->is_done() && !Foreign) {
-      ended();
+    if (ResponseParser->is_done() && !ForOtherAttempt) {
+      finish();
       return;
     }
-    if (Reading->is_done()) {
-      newParser(); // The answer to this request comes behind.
+    if (ResponseParser->is_done()) {
+      resetParser(); // The response to this request follows.
       continue;
     }
-    if (ec == http::error::need_more || n == 0 || Link->Buffer.size() == 0)
+    if (ec == http::error::need_more || n == 0 ||
+        OpenConnection->Buffer.size() == 0)
       break;
   }
-  if (Events != nullptr)
-    read();
+  if (Handler != nullptr)
+    readMore();
 }
 
-/** Looks at a head that came; false when another one follows at once. */
-bool BackEndCall::headCame() {
-  const auto &Head = Reading->get();
+/** Handles a parsed head; false for an interim (1xx) one. */
+bool BackEndCall::processHead() {
+  const auto &Head = ResponseParser->get();
   const unsigned Status = Head.result_int();
   if (Status < 200) {
-    newParser();
+    resetParser();
     return false;
   }
   HeadDone = true;
-  // An answer to an earlier request may come late, in place of this one's.
-  // Its id shows it; the body is read and dropped.
-  const auto Id = Head.find(Plan.IdHeader);
-  Foreign = !Plan.AttemptId.empty() && Id != Head.end() &&
-            Id->value() != Plan.AttemptId;
-  if (Foreign)
+  // A late response to an earlier request may arrive first. It is recognized by
+  // its attempt id; its body is read and dropped.
+  const auto Id = Head.find(Request.AttemptIdHeader);
+  ForOtherAttempt = !Request.AttemptId.empty() && Id != Head.end() &&
+                    Id->value() != Request.AttemptId;
+  if (ForOtherAttempt)
     return true;
-  Link->KeepFor = Reading->keep_alive() ? keepTime(Head) : Millis{0};
-  Events->callHead(Head);
+  OpenConnection->IdleLimit =
+      ResponseParser->keep_alive() ? idleLimit(Head) : Millis{0};
+  Handler->handleAnswerHead(Head);
   return true;
 }
 
-void BackEndCall::bodyCame() {
-  std::string &Body = Reading->get().body();
+/** Passes the newly parsed part of the body to the handler. */
+void BackEndCall::deliverBody() {
+  std::string &Body = ResponseParser->get().body();
   if (Body.empty())
     return;
   std::string Part;
   Part.swap(Body);
-  Events->callBody(std::move(Part));
+  Handler->handleAnswerBody(std::move(Part));
 }
 
-void BackEndCall::ended() {
-  CallEvents *Told = std::exchange(Events, nullptr);
-  // Bytes behind a whole answer belong to no request, and a request that was
-  // not sent whole would be read into the next one.
-  if (Written && Link->Buffer.size() == 0 && Link->KeepFor.count() > 0) {
-    Link->IdleSince = RuntimeClock().now();
-    Kept.keep(std::move(Link), Plan.MostKept);
+/** Ends the call after a complete response; pools the connection if it can be
+ * reused. */
+void BackEndCall::finish() {
+  BackEndCallHandler *Receiver = std::exchange(Handler, nullptr);
+  // Not reused with extra bytes after the response, which belong to no request,
+  // or with a partly written request, which the next one would be appended to.
+  if (WriteDone && OpenConnection->Buffer.size() == 0 &&
+      OpenConnection->IdleLimit.count() > 0) {
+    OpenConnection->IdleSince = RuntimeClock().now();
+    Pool.keep(std::move(OpenConnection), Request.MaxIdle);
   }
-  Link.reset();
-  Told->callEnded();
+  OpenConnection.reset();
+  Receiver->handleAnswerEnd();
 }
 
-void BackEndCall::failed(CallFailure Why) {
-  CallEvents *Told = std::exchange(Events, nullptr);
-  if (Told == nullptr)
+/** Ends the call without a complete response. */
+void BackEndCall::reportFailure(CallFailure Why) {
+  BackEndCallHandler *Receiver = std::exchange(Handler, nullptr);
+  if (Receiver == nullptr)
     return;
   cancel();
-  Told->callFailed(Why);
+  Receiver->handleCallFailure(Why);
 }
 
 void BackEndCall::cancel() {
-  Events = nullptr;
+  Handler = nullptr;
   ConnectTimer.cancel();
-  Error Ignored; // The connection is given up, whatever state it is in.
-  if (!Link)
+  Error Ignored; // The connection is dropped in any case.
+  if (!OpenConnection)
     return;
-  // Reset, not ended. A back end whose host stands still reads on waking what
-  // lies in its sockets, and a request with an orderly end behind it looks like
-  // one of a caller that still waits for the answer. A reset says that nobody
-  // does, and takes back what has not been sent yet.
-  Link->Socket.set_option(boost::asio::socket_base::linger(true, 0), Ignored);
-  Link->Socket.close(Ignored);
+  // Reset instead of an orderly close. A back end on an unresponsive host reads
+  // its sockets when the host resumes, and would run a request that is followed
+  // by an orderly close as if the caller still waited. A reset tells it that
+  // nobody does, and discards what was not sent yet.
+  OpenConnection->Socket.set_option(boost::asio::socket_base::linger(true, 0),
+                                    Ignored);
+  OpenConnection->Socket.close(Ignored);
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/back_end_call.h
+++ b/packages/entry/src/forward/back_end_call.h
@@ -1,4 +1,4 @@
-/** @file back_end_call.h One request on one connection to a back end. */
+/** @file back_end_call.h One HTTP request to a back end and its response. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_BACK_END_CALL_H
 #define JACINTHPOND_ENTRY_FORWARD_BACK_END_CALL_H
@@ -20,148 +20,150 @@
 
 namespace jacinthpond {
 
-/** A connection to a back end. */
+/** A TCP connection to a back end. */
 struct BackEndConnection {
   boost::asio::ip::tcp::socket Socket; ///< The socket.
-  boost::beast::flat_buffer Buffer;    ///< Received, not read yet.
-  Address At;                          ///< Where it leads.
-  TimePoint IdleSince;                 ///< When its last answer ended.
-  Millis KeepFor{0};                   ///< Idle time after which it is old.
+  boost::beast::flat_buffer Buffer;    ///< Bytes received but not yet parsed.
+  Address At;                          ///< Address of the back end.
+  TimePoint IdleSince;                 ///< When the last response ended.
+  Millis IdleLimit{0};                 ///< Longest idle time before reuse.
 };
 
-/** Kept connections; used by the traffic thread only. */
-class BackEndConnections {
+/** Pool of idle keep-alive connections; used by the traffic thread only. */
+class BackEndConnectionPool {
 public:
   /**
-   * Takes a kept connection that still seems to work.
-   * @param At Where it leads.
+   * Takes an idle connection that has not expired and is still open.
+   * @param At Address of the back end.
    * @param Now Current time.
-   * @return The connection, or null.
+   * @return The connection, or null if there is none.
    */
   std::unique_ptr<BackEndConnection> take(const Address &At, TimePoint Now);
 
   /**
-   * Keeps a connection after a whole answer.
+   * Returns a connection to the pool after a complete response. Closes it
+   * instead if the pool is full for this back end or reuse isn't allowed.
    * @param Idle The connection.
-   * @param Most Connections kept to the same back end.
+   * @param MaxKept Maximum number of idle connections to the same back end.
    */
-  void keep(std::unique_ptr<BackEndConnection> Idle, size_t Most);
+  void keep(std::unique_ptr<BackEndConnection> Idle, size_t MaxKept);
 
   /**
-   * Closes connections that have been idle for too long.
+   * Closes connections that have been idle for longer than their limit.
    * @param Now Current time.
    */
-  void sweep(TimePoint Now);
+  void closeExpired(TimePoint Now);
 
 private:
-  std::map<Address, std::vector<std::unique_ptr<BackEndConnection>>> Kept;
+  std::map<Address, std::vector<std::unique_ptr<BackEndConnection>>>
+      Connections; ///< Idle connections of each back end, newest last.
 };
 
-/** What to send where. */
-struct CallPlan {
-  Address To;                 ///< The back end.
-  std::string Bytes;          ///< The whole request.
-  std::string IdHeader;       ///< Header in which answers repeat the id.
-  std::string AttemptId;      ///< Answers with another id belong to others.
-  bool NewConnection = false; ///< Not on a kept connection.
-  bool NoBody = false;        ///< The answer has no body, as with HEAD.
-  size_t MostKept = 0;        ///< Idle connections to keep to that back end.
+/** A serialized request and where to send it. */
+struct BackEndRequest {
+  Address To;                      ///< Address of the back end.
+  std::string Bytes;               ///< The serialized request.
+  std::string AttemptIdHeader;     ///< Header that echoes the attempt's id.
+  std::string AttemptId;           ///< Responses with another id are skipped.
+  bool ForceNewConnection = false; ///< Don't use a pooled connection.
+  bool NoResponseBody = false;     ///< The response has no body (HEAD).
+  size_t MaxIdle = 0;              ///< Idle connections to keep to that server.
 };
 
-/** Why a call has no whole answer. */
+/** Why a call has no complete response. */
 enum class CallFailure : uint8_t {
-  Unreached, ///< No connection came about: nothing was sent.
-  Stale,     ///< A kept connection was closed before any answer.
-  Broken     ///< It broke off, or what came cannot be read.
+  Unreached, ///< No connection could be opened: nothing was sent.
+  Stale,     ///< A pooled connection was closed before any response.
+  Broken     ///< The connection broke, or the response is malformed.
 };
 
-/** Head of an answer. */
+/** Status and headers of a response. */
 using ResponseHead =
     boost::beast::http::response_header<boost::beast::http::fields>;
 
-/** Takes what comes of a call, on the traffic thread. */
-class CallEvents {
+/** Receives the response of a call, on the traffic thread. */
+class BackEndCallHandler {
 public:
-  virtual ~CallEvents() = default;
+  virtual ~BackEndCallHandler() = default;
 
   /**
-   * The head of the answer came.
+   * Handles the head of the response.
    * @param Head Status and headers.
    */
-  virtual void callHead(const ResponseHead &Head) = 0;
+  virtual void handleAnswerHead(const ResponseHead &Head) = 0;
 
   /**
-   * A part of the body came.
+   * Handles a part of the response body.
    * @param Bytes The part.
    */
-  virtual void callBody(std::string Bytes) = 0;
+  virtual void handleAnswerBody(std::string Bytes) = 0;
 
-  /** The answer is whole. */
-  virtual void callEnded() = 0;
+  /** Handles the end of a complete response. */
+  virtual void handleAnswerEnd() = 0;
 
   /**
-   * There will be no whole answer.
+   * Handles a failure: no complete response will follow.
    * @param Why What happened.
    */
-  virtual void callFailed(CallFailure Why) = 0;
+  virtual void handleCallFailure(CallFailure Why) = 0;
 };
 
-/** One request and its answer. After cancel() no event follows. */
+/** One request and its response. After cancel() the handler isn't called. */
 class BackEndCall : public std::enable_shared_from_this<BackEndCall> {
 public:
   /**
-   * Sets up; start() begins.
-   * @param Io Runs on the traffic thread.
-   * @param Kept Connections to take from and give back to.
-   * @param Plan What to send where.
-   * @param Events Takes what comes; must live until the last event.
+   * Creates a call; start() sends it.
+   * @param Io Event loop of the traffic thread.
+   * @param Pool Idle connections to take from and return to.
+   * @param Request What to send, and where.
+   * @param Handler Receives the response; must live until its last call.
    */
-  BackEndCall(boost::asio::io_context &Io, BackEndConnections &Kept,
-              CallPlan Plan, CallEvents &Events);
+  BackEndCall(boost::asio::io_context &Io, BackEndConnectionPool &Pool,
+              BackEndRequest Request, BackEndCallHandler &Handler);
 
   /**
    * Sends the request.
-   * @param ConnectLimit Longest wait for a new connection.
+   * @param ConnectLimit Timeout for opening a new connection.
    */
   void start(Millis ConnectLimit);
 
-  /** Closes the connection; most back ends then stop working on it. */
+  /** Resets the connection; most back ends then stop the request. */
   void cancel();
 
   /**
-   * Says whether anything was given to a connection to be sent.
+   * Says whether sending has begun.
    * @return False while the connection is being opened.
    */
-  bool sent() const { return Sent; }
+  bool hasSent() const { return Sent; }
 
 private:
   using Parser =
       boost::beast::http::response_parser<boost::beast::http::string_body>;
 
   void connect(Millis Limit);
-  void exchange();
-  void newParser();
-  void read();
+  void writeRequest();
+  void resetParser();
+  void readMore();
   void parse();
-  bool headCame();
-  void bodyCame();
-  void ended();
-  void failed(CallFailure Why);
-  void closed();
+  bool processHead();
+  void deliverBody();
+  void finish();
+  void reportFailure(CallFailure Why);
+  void handleClose();
 
   boost::asio::io_context &Io;
-  BackEndConnections &Kept;
-  CallPlan Plan;
-  CallEvents *Events; ///< Null once the call is over.
-  std::unique_ptr<BackEndConnection> Link;
-  std::optional<Parser> Reading;
+  BackEndConnectionPool &Pool;
+  BackEndRequest Request;
+  BackEndCallHandler *Handler; ///< Null once the call is over.
+  std::unique_ptr<BackEndConnection> OpenConnection;
+  std::optional<Parser> ResponseParser;
   boost::asio::steady_timer ConnectTimer;
-  bool Reused = false;   ///< On a kept connection.
-  bool Sent = false;     ///< Sending has begun.
-  bool Written = false;  ///< All of the request is with the kernel.
-  bool HeadDone = false; ///< The head was handed on.
-  bool Foreign = false;  ///< The answer under way belongs to another request.
-  bool Heard = false;    ///< Any byte came.
+  bool Reused = false;          ///< The connection came from the pool.
+  bool Sent = false;            ///< Sending has begun.
+  bool WriteDone = false;       ///< The kernel has the complete request.
+  bool HeadDone = false;        ///< The head of the response was parsed.
+  bool ForOtherAttempt = false; ///< The response belongs to another request.
+  bool ReceivedAny = false;     ///< At least one byte was received.
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/caller_session.cpp
+++ b/packages/entry/src/forward/caller_session.cpp
@@ -1,4 +1,4 @@
-/** @file caller_session.cpp One caller's connection. */
+/** @file caller_session.cpp HTTP/1.1 server side of one caller's connection. */
 
 #include "forward/caller_session.h"
 
@@ -26,20 +26,22 @@
 namespace {
 
 constexpr size_t ReadBytes = 4096;
-/** Bytes of later requests that wait while one is being answered. */
+/** Bytes of pipelined requests that are buffered while one is handled. */
 constexpr size_t MaxPipelined = 64 << 10;
-/** Kept capacity of buffers of a connection that is idle, in bytes. */
+/** Capacity in bytes that the write buffer of an idle connection may keep. */
 constexpr size_t IdleCapacity = 8 << 10;
 constexpr int Http11 = 11;
 
-template <typename Message> std::string textOf(const Message &Whole) {
+/** Serializes a complete HTTP message. */
+template <typename Message> std::string messageText(const Message &Whole) {
   std::ostringstream Text;
   Text << Whole;
   return Text.str();
 }
 
-/** Writes a head alone: the library would end an empty body behind it. */
-std::string headTextOf(CallerAnswerHead &Head) {
+/** Serializes only the head. Beast would otherwise also write the end of the
+ * empty body. */
+std::string headText(CallerAnswerHead &Head) {
   http::response_serializer<http::empty_body> Writer(Head);
   Writer.split(true);
   std::string Text;
@@ -52,7 +54,8 @@
   return Text;
 }
 
-std::string chunkOf(const std::string &Bytes) {
+/** Encodes bytes as one chunk of a chunked body. */
+std::string encodeChunk(const std::string &Bytes) {
   std::array<char, 16> Size{};
   const auto End =
       std::to_chars(Size.data(), Size.data() + Size.size(), Bytes.size(), 16);
@@ -63,7 +66,8 @@
   return Chunk;
 }
 
-unsigned statusOf(const Error &ec) {
+/** HTTP status for a request that could not be parsed. */
+unsigned parseErrorStatus(const Error &ec) {
   if (ec == http::error::header_limit)
     return 431;
   if (ec == http::error::body_limit)
@@ -74,29 +78,32 @@
 } // namespace
 
 CallerSession::CallerSession(boost::asio::ip::tcp::socket Accepted,
-                             const SessionRules &Rules)
-    : Socket(std::move(Accepted)), Rules(Rules), Timer(Socket.get_executor()) {}
+                             const SessionCallbacks &Callbacks)
+    : Socket(std::move(Accepted)), Callbacks(Callbacks),
+      Timer(Socket.get_executor()) {}
 
 void CallerSession::start() {
   setTrafficOptions(Socket);
-  newParser();
+  resetParser();
   armTimer();
-  read();
+  readMore();
 }
 
-void CallerSession::newParser() {
-  const CallerLimits Limits = Rules.Limits();
-  Reading.emplace();
-  Reading->eager(true);
-  Reading->header_limit(Limits.MaxHeadBytes);
-  Reading->body_limit(Limits.MaxBodyBytes);
-  ToldToGoOn = false;
+/** Prepares to parse the next request, with the limits in force now. */
+void CallerSession::resetParser() {
+  const CallerLimits Limits = Callbacks.Limits();
+  RequestParser.emplace();
+  RequestParser->eager(true);
+  RequestParser->header_limit(Limits.MaxHeadBytes);
+  RequestParser->body_limit(Limits.MaxBodyBytes);
+  ContinueSent = false;
 }
 
-/** Waits for a whole request: briefly once it has begun, long before that. */
+/** Limits the wait for a complete request: the head timeout applies once it has
+ * begun, the idle timeout before that. */
 void CallerSession::armTimer() {
-  const CallerLimits Limits = Rules.Limits();
-  const bool Begun = Buffer.size() > 0 || Reading->is_header_done();
+  const CallerLimits Limits = Callbacks.Limits();
+  const bool Begun = Buffer.size() > 0 || RequestParser->is_header_done();
   Timer.expires_after(Begun ? Limits.HeadTimeout : Limits.IdleTimeout);
   Timer.async_wait([Self = shared_from_this(), Begun](const Error &ec) {
     if (ec || Self->Busy || Self->Closed)
@@ -108,14 +115,15 @@
   });
 }
 
-void CallerSession::read() {
-  if (ReadOpen || Closed || Buffer.size() >= MaxPipelined)
+/** Reads the next bytes, unless too many pipelined ones are buffered. */
+void CallerSession::readMore() {
+  if (ReadPending || Closed || Buffer.size() >= MaxPipelined)
     return;
-  ReadOpen = true;
+  ReadPending = true;
   Socket.async_read_some(
       Buffer.prepare(ReadBytes),
       [Self = shared_from_this()](const Error &ec, size_t n) {
-        Self->ReadOpen = false;
+        Self->ReadPending = false;
         if (Self->Closed)
           return;
         if (ec) {
@@ -123,12 +131,12 @@
           return;
         }
         const bool First = Self->Buffer.size() == 0 && !Self->Busy &&
-                           !Self->Reading->is_header_done();
+                           !Self->RequestParser->is_header_done();
         Self->Buffer.commit(n);
         if (Self->Busy) {
-          // A later request of the same caller; the read goes on, since it
-          // is what shows that the caller has gone.
-          Self->read();
+          // A pipelined request. Reading goes on, since only a read shows that
+          // the caller has disconnected.
+          Self->readMore();
           return;
         }
         if (First)
@@ -137,55 +145,59 @@
       });
 }
 
+/** Parses the buffered bytes and handles the request once it is complete. */
 void CallerSession::parse() {
   while (!Busy && !Closing && Buffer.size() > 0) {
     Error ec;
-    const size_t n = Reading->put(Buffer.data(), ec);
+    const size_t n = RequestParser->put(Buffer.data(), ec);
     Buffer.consume(n);
     if (ec && ec != http::error::need_more) {
-      refuse(statusOf(ec));
+      refuse(parseErrorStatus(ec));
       return;
     }
-    if (Reading->is_done()) {
-      requestCame();
+    if (RequestParser->is_done()) {
+      handleRequest();
       break;
     }
-    const auto &Head = Reading->get();
-    if (Reading->is_header_done() && !ToldToGoOn &&
+    const auto &Head = RequestParser->get();
+    if (RequestParser->is_header_done() && !ContinueSent &&
         boost::beast::iequals(Head[http::field::expect], "100-continue")) {
-      ToldToGoOn = true;
+      ContinueSent = true;
       send("HTTP/1.1 100 Continue\r\n\r\n");
     }
     if (ec == http::error::need_more)
       break;
   }
   if (!Closing)
-    read();
+    readMore();
 }
 
+/** Answers a malformed or late request with an error and closes the session. */
 void CallerSession::refuse(unsigned Status) {
   KeepAlive = false;
   Busy = true;
-  answer(Rules.OnBadRequest(Status));
+  answer(Callbacks.OnBadRequest(Status));
 }
 
-void CallerSession::requestCame() {
+/** Passes a complete request to the callback of the listener. */
+void CallerSession::handleRequest() {
   Busy = true;
   Timer.cancel();
-  CallerRequest Asked = Reading->release();
-  KeepAlive = Asked.keep_alive();
-  HeadOnly = Asked.method() == http::verb::head;
-  Chunked = Asked.version() >= Http11;
-  Rules.OnRequest(shared_from_this(), std::move(Asked));
+  CallerRequest Request = RequestParser->release();
+  KeepAlive = Request.keep_alive();
+  HeadOnly = Request.method() == http::verb::head;
+  Chunked = Request.version() >= Http11;
+  Callbacks.OnRequest(shared_from_this(), std::move(Request));
 }
 
-void CallerSession::workedOnBy(std::shared_ptr<SessionWork> By) {
-  Work = std::move(By);
+void CallerSession::setDisconnectHandler(
+    std::shared_ptr<DisconnectHandler> NewHandler) {
+  Handler = std::move(NewHandler);
 }
 
 void CallerSession::answer(CallerAnswer Answer) {
   Answer.version(Http11);
-  const bool Keep = KeepAlive && !Rules.Leaving();
+  const bool Keep = KeepAlive && !Callbacks.IsLeaving();
   Answer.keep_alive(Keep);
   const unsigned Status = Answer.result_int();
   const bool NoLength = Status == 204 || Status == 304;
@@ -193,53 +205,57 @@
     Answer.prepare_payload();
   if (HeadOnly || NoLength)
     Answer.body().clear();
-  send(textOf(Answer));
-  goOn(Keep);
+  send(messageText(Answer));
+  finishRequest(Keep);
 }
 
 void CallerSession::beginBody(CallerAnswerHead Head) {
   Head.version(Http11);
-  KeepAlive = KeepAlive && Chunked && !Rules.Leaving();
+  KeepAlive = KeepAlive && Chunked && !Callbacks.IsLeaving();
   Head.keep_alive(KeepAlive);
   if (Chunked)
     Head.chunked(true);
-  send(headTextOf(Head));
+  send(headText(Head));
 }
 
 void CallerSession::sendBody(const std::string &Bytes) {
   if (!HeadOnly)
-    send(Chunked ? chunkOf(Bytes) : Bytes);
+    send(Chunked ? encodeChunk(Bytes) : Bytes);
 }
 
 void CallerSession::endBody() {
   if (Chunked && !HeadOnly)
     send("0\r\n\r\n");
-  goOn(KeepAlive);
+  finishRequest(KeepAlive);
 }
 
-void CallerSession::goOn(bool Keep) {
-  Work.reset();
+/** Ends the current request; closes the session or prepares for the next
+ * request. */
+void CallerSession::finishRequest(bool Keep) {
+  Handler.reset();
   Busy = false;
   if (!Keep) {
     Closing = true;
     flush();
     return;
   }
-  newParser();
+  resetParser();
   armTimer();
-  // The next request may have come already; from here it would be answered
-  // inside the call that ended this one.
+  // The next request may be buffered already. It is handled later, not inside
+  // the call that ended this one.
   boost::asio::post(Socket.get_executor(), [Self = shared_from_this()] {
     if (!Self->Busy && !Self->Closed)
       Self->parse();
   });
 }
 
+/** Queues bytes for the caller. */
 void CallerSession::send(const std::string &Bytes) {
   Outgoing += Bytes;
   flush();
 }
 
+/** Writes queued bytes, one write at a time. */
 void CallerSession::flush() {
   if (Closed || !Writing.empty())
     return;
@@ -264,17 +280,18 @@
 
 void CallerSession::abort() { close(); }
 
+/** Closes the connection and notifies the handler of the current request. */
 void CallerSession::close() {
   if (Closed)
     return;
   Closed = true;
   Timer.cancel();
-  Error Ignored; // The connection ends, whatever state it is in.
-  if (Closing)   // All was written: the caller reads it before the end.
+  Error Ignored; // The connection is dropped in any case.
+  if (Closing)   // All data is written: an orderly end follows it.
     Socket.shutdown(boost::asio::socket_base::shutdown_send, Ignored);
   Socket.close(Ignored);
-  if (const auto Told = std::exchange(Work, nullptr))
-    Told->callerGone();
+  if (const auto Receiver = std::exchange(Handler, nullptr))
+    Receiver->handleCallerDisconnect();
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/caller_session.h
+++ b/packages/entry/src/forward/caller_session.h
@@ -1,4 +1,4 @@
-/** @file caller_session.h One caller's connection. */
+/** @file caller_session.h HTTP/1.1 server side of one caller's connection. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_CALLER_SESSION_H
 #define JACINTHPOND_ENTRY_FORWARD_CALLER_SESSION_H
@@ -20,89 +20,93 @@
 
 namespace jacinthpond {
 
-/** A whole request of a caller. */
+/** A complete request of a caller. */
 using CallerRequest =
     boost::beast::http::request<boost::beast::http::string_body>;
 
-/** A whole answer to a caller. */
+/** A complete response to a caller. */
 using CallerAnswer =
     boost::beast::http::response<boost::beast::http::string_body>;
 
-/** Head of an answer whose body follows in chunks. */
+/** Head of a response whose body is streamed. */
 using CallerAnswerHead =
     boost::beast::http::response<boost::beast::http::empty_body>;
 
 class CallerSession;
 
-/** What works on the request of a session. */
-class SessionWork {
+/** Is notified when the caller of the current request disconnects. */
+class DisconnectHandler {
 public:
-  virtual ~SessionWork() = default;
-  /** The caller closed the connection, or it broke. */
-  virtual void callerGone() = 0;
+  virtual ~DisconnectHandler() = default;
+  /** Handles a connection that was closed or broke before the response ended.
+   */
+  virtual void handleCallerDisconnect() = 0;
 };
 
 /** What a listener does with the requests of its sessions. */
-struct SessionRules {
-  /** Answers a request, now or later; keeps itself alive through the session.
-   */
+struct SessionCallbacks {
+  /** Answers a request, now or later. Whatever works on it is kept alive by the
+   * session; see setDisconnectHandler(). */
   std::function<void(const std::shared_ptr<CallerSession> &, CallerRequest)>
       OnRequest;
-  /** Answers a request that cannot be read; the connection closes after it. */
+  /** Returns the response to a malformed request; the session closes after it.
+   */
   std::function<CallerAnswer(unsigned Status)> OnBadRequest;
-  /** Gives the limits in force. */
+  /** Returns the limits in force. */
   std::function<CallerLimits()> Limits;
-  /** Says whether the process is leaving: answers then ask to close. */
-  std::function<bool()> Leaving;
+  /** Says whether the process is leaving: responses then close the connection.
+   */
+  std::function<bool()> IsLeaving;
 };
 
-/** One connection; used by the traffic thread only. */
+/** One caller's connection; used by the traffic thread only. */
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
 public:
   /**
-   * Takes over a connection.
+   * Takes over an accepted connection; start() reads from it.
    * @param Accepted The socket.
-   * @param Rules What to do with requests; outlives the session.
+   * @param Callbacks What to do with requests; must outlive the session.
    */
   CallerSession(boost::asio::ip::tcp::socket Accepted,
-                const SessionRules &Rules);
+                const SessionCallbacks &Callbacks);
 
-  /** Begins to read. */
+  /** Starts to read requests. */
   void start();
 
   /**
-   * Names what works on the request under way.
-   * @param Work Told when the caller goes; null: nobody any more.
+   * Sets who is notified if the caller disconnects during the current request.
+   * The session keeps it alive until the request ends.
+   * @param Handler The handler; null: none.
    */
-  void workedOnBy(std::shared_ptr<SessionWork> Work);
+  void setDisconnectHandler(std::shared_ptr<DisconnectHandler> Handler);
 
   /**
-   * Sends a whole answer and goes on with the next request.
-   * @param Answer The answer; its framing is set here.
+   * Sends a complete response and goes on with the next request.
+   * @param Answer The response; its framing headers are set here.
    */
   void answer(CallerAnswer Answer);
 
   /**
-   * Begins an answer whose body follows.
-   * @param Head Its head; its framing is set here.
+   * Sends the head of a response whose body is streamed.
+   * @param Head The head; its framing headers are set here.
    */
   void beginBody(CallerAnswerHead Head);
 
   /**
-   * Sends a part of the body.
+   * Sends a part of a streamed body.
    * @param Bytes The part.
    */
   void sendBody(const std::string &Bytes);
 
-  /** Ends the body and goes on with the next request. */
+  /** Ends a streamed body and goes on with the next request. */
   void endBody();
 
-  /** Closes the connection at once: an answer under way stays visibly cut. */
+  /** Closes the connection at once; the caller sees a truncated response. */
   void abort();
 
   /**
-   * Gives the bytes that wait for the caller.
-   * @return How many.
+   * Size of the data that waits to be sent to the caller.
+   * @return Bytes.
    */
   size_t backlog() const { return Outgoing.size() + Writing.size(); }
 
@@ -110,33 +114,33 @@
   using Parser =
       boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  void newParser();
-  void read();
+  void resetParser();
+  void readMore();
   void parse();
   void refuse(unsigned Status);
-  void requestCame();
-  void goOn(bool KeepAlive);
+  void handleRequest();
+  void finishRequest(bool KeepAlive);
   void send(const std::string &Bytes);
   void flush();
   void armTimer();
   void close();
 
   boost::asio::ip::tcp::socket Socket;
-  const SessionRules &Rules;
+  const SessionCallbacks &Callbacks;
   boost::beast::flat_buffer Buffer;
-  std::optional<Parser> Reading;
+  std::optional<Parser> RequestParser;
   boost::asio::steady_timer Timer;
-  std::shared_ptr<SessionWork> Work;
-  std::string Outgoing;  ///< To be written next.
-  std::string Writing;   ///< With the kernel.
-  bool Busy = false;     ///< A request is being answered.
-  bool ReadOpen = false; ///< A read is under way.
-  bool Closing = false;  ///< Closes once all is written.
+  std::shared_ptr<DisconnectHandler> Handler;
+  std::string Outgoing;     ///< Data for the next write.
+  std::string Writing;      ///< Data of the current write.
+  bool Busy = false;        ///< A request is being handled.
+  bool ReadPending = false; ///< An asynchronous read is pending.
+  bool Closing = false;     ///< Closes once all data is written.
   bool Closed = false;
-  bool KeepAlive = true;   ///< The request under way allows another one.
-  bool ToldToGoOn = false; ///< "100 Continue" was sent.
-  bool HeadOnly = false;   ///< The request under way is a HEAD.
-  bool Chunked = true;     ///< The caller reads chunks.
+  bool KeepAlive = true;     ///< The connection stays open after this request.
+  bool ContinueSent = false; ///< "100 Continue" was sent.
+  bool HeadOnly = false;     ///< The method of the current request is HEAD.
+  bool Chunked = true;       ///< The caller supports chunked encoding.
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/exchange.cpp
+++ b/packages/entry/src/forward/exchange.cpp
@@ -1,5 +1,4 @@
-/** @file exchange.cpp One request on a route, from its arrival to its answer.
- */
+/** @file exchange.cpp One request on a route, from arrival to response. */
 
 #include "forward/exchange.h"
 
@@ -23,28 +22,31 @@
 
 namespace {
 
-/** Longest wait for a connection: several times the way between regions. */
+/** Timeout for opening a connection: several times the latency between regions.
+ */
 constexpr Millis ConnectLimit{300};
-/** Connections tried at most for one request; none of them sends anything
- * unless it comes about. */
-constexpr uint32_t MaxTries = 5;
-/** Time left below which an attempt could not be answered any more. */
-constexpr Millis LeastRemaining{10};
-constexpr int64_t MostRemaining = int64_t{3600} * 1000;
-/** Requests that wait until a new entry has a view of the fleet; their bodies
- * are held meanwhile. */
-constexpr size_t MostHeld = 256;
-
-/** Chooses among the services of a route by their weights. */
-const ServiceName &pickTarget(const Route &From, std::string_view Id) {
+/** Maximum attempts for one request, failed connections included; those send
+ * nothing. */
+constexpr uint32_t MaxAttemptsStarted = 5;
+/** With less time left than this, an attempt can't be answered in time. */
+constexpr Millis MinRemaining{10};
+/** Upper bound for the time that a caller says it still waits. */
+constexpr int64_t MaxRemainingMillis = int64_t{3600} * 1000;
+/** Maximum requests that wait until a new entry has a view of the fleet; their
+ * bodies stay in memory meanwhile. */
+constexpr size_t MaxWaitingForReadiness = 256;
+
+/** Chooses a service of the route in proportion to the weights, by a hash of
+ * the request's id. */
+const ServiceName &chooseTarget(const Route &Matched, std::string_view Id) {
   uint64_t Sum = 0;
-  for (const RouteTarget &One : From.Targets)
+  for (const RouteTarget &One : Matched.Targets)
     Sum += One.Weight;
   if (Sum == 0)
-    return From.Targets.front().Service;
+    return Matched.Targets.front().Service;
   uint64_t Point = std::hash<std::string_view>{}(Id) % Sum;
   const auto it =
-      std::ranges::find_if(From.Targets, [&](const RouteTarget &One) {
+      std::ranges::find_if(Matched.Targets, [&](const RouteTarget &One) {
         if (Point < One.Weight)
           return true;
         Point -= One.Weight;
@@ -53,7 +55,8 @@
   return it->Service;
 }
 
-std::string secondsText(Millis Time) {
+/** Formats a duration as seconds with three decimals. */
+std::string formatSeconds(Millis Time) {
   std::array<char, 32> Text{};
   std::snprintf(Text.data(), Text.size(), "%.3f",
                 static_cast<double>(Time.count()) / 1000);
@@ -63,144 +66,167 @@
 } // namespace
 
 Exchange::Exchange(ForwardContext &Shared,
-                   std::shared_ptr<CallerSession> Session, CallerRequest Asked)
-    : Shared(Shared), Session(std::move(Session)), Asked(std::move(Asked)),
-      Arrived(Shared.Clock.now()), LastGiven(Arrived), Timer(Shared.Io) {
-  ++Shared.Open;
+                   std::shared_ptr<CallerSession> Session,
+                   CallerRequest Incoming)
+    : Shared(Shared), Session(std::move(Session)),
+      Incoming(std::move(Incoming)), ArrivalTime(Shared.Clock.now()),
+      LastSentToCaller(ArrivalTime), Timer(Shared.Io) {
+  ++Shared.OpenRequests;
 }
 
-Exchange::~Exchange() { --Shared.Open; }
+Exchange::~Exchange() { --Shared.OpenRequests; }
 
 void Exchange::start() {
   Shared.Counters.add(ForwardCount::Requests);
-  Id = fieldOf(Asked, Shared.Wire.names().AttemptId);
-  Session->workedOnBy(shared_from_this());
+  Id = fieldValue(Incoming, Shared.Wire.names().AttemptId);
+  Session->setDisconnectHandler(shared_from_this());
   readDeadline();
-  if (waitForView())
+  if (waitUntilReady())
     return;
-  begin();
+  startForwarding();
 }
 
 /**
- * Holds a request that came while this entry joins the fleet. After a restart
- * of all entries the callers whose connections broke come at once, within the
- * quarter of a second that a view takes. They have one more try: refused, they
- * would be gone, while their back ends are idle.
+ * Holds a request that arrives while this entry joins the fleet. When all
+ * entries restart, callers with broken connections reconnect at once, within
+ * the 0.25 s that it takes to get a view of the fleet. They have one retry
+ * left: if refused, they would give up although their back ends are idle.
+ * @return Whether the request waits.
  */
-bool Exchange::waitForView() {
-  if (hasView() || Shared.Refusing ||
-      Shared.Clock.now() >= std::min(Shared.Fleet.ReadyBy, Limit) ||
-      Shared.Held.size() >= MostHeld)
+bool Exchange::waitUntilReady() {
+  if (isEntryReady() || Shared.RefusingNew ||
+      Shared.Clock.now() >= std::min(Shared.Fleet.ReadyBy, RequestDeadline) ||
+      Shared.ReadinessWaiters.size() >= MaxWaitingForReadiness)
     return false;
-  HeldForView = true;
-  Shared.Held.push_back(weak_from_this());
-  logHeld();
+  WaitingForReadiness = true;
+  Shared.ReadinessWaiters.push_back(weak_from_this());
+  logWaitForReadiness();
   armTimer();
   return true;
 }
 
-void Exchange::viewCame() {
-  if (!Session || !HeldForView)
+/** Goes on with a held request once the entry is ready, or once the wait is
+ * over. */
+void Exchange::handleEntryReady() {
+  if (!Session || !WaitingForReadiness)
     return;
-  HeldForView = false;
-  begin();
+  WaitingForReadiness = false;
+  startForwarding();
 }
 
-bool Exchange::hasView() const {
+/** Says whether this entry has a document and a fresh view of the fleet. */
+bool Exchange::isEntryReady() const {
   return Shared.Doc != nullptr && Shared.Fleet.Ready;
 }
 
-/** Sends the request on, or refuses it. */
-void Exchange::begin() {
+/** Matches the request to a route and forwards it, or refuses it. */
+void Exchange::startForwarding() {
   Doc = Shared.Doc;
-  if (!findRoute() || !checkCaller())
+  if (!findRoute() || !authenticateCaller())
     return;
-  Age = callerAge(Shared.Callers, *From, Limit - Arrived);
-  Limit = std::min(Limit, Arrived + From->Timeout);
-  Needs.Service = pickTarget(*From, Id);
-  Needs.From = From;
+  CallerAge = callerAge(Shared.CallerDeadlines, *RequestRoute,
+                        RequestDeadline - ArrivalTime);
+  RequestDeadline =
+      std::min(RequestDeadline, ArrivalTime + RequestRoute->Timeout);
+  Needs.Service = chooseTarget(*RequestRoute, Id);
+  Needs.From = RequestRoute;
   Needs.Owner = Owner;
   if (const auto Last =
-          numberIn(fieldOf(Asked, Shared.Wire.names().LastEventId)))
+          parseNumber(fieldValue(Incoming, Shared.Wire.names().LastEventId)))
     Events.LastId = static_cast<uint64_t>(*Last);
   armTimer();
-  countFirst(Shared.Repeats, Needs.Service, Arrived);
-  tryNext();
+  countFirst(Shared.Repeats, Needs.Service, ArrivalTime);
+  tryNextServer();
 }
 
+/** Finds the route; if there is none or the entry takes no requests, ends the
+ * request. */
 bool Exchange::findRoute() {
-  if (!hasView()) {
-    endWith({ErrorKind::StaleView, "no configuration yet", {}}, Ran::No,
-            "no_configuration");
+  if (!isEntryReady()) {
+    endWithError({ErrorKind::StaleView, "no configuration yet", {}}, Ran::No,
+                 "no_configuration");
     return false;
   }
-  if (Shared.Refusing) {
-    endWith({ErrorKind::Leaving, "", {}}, Ran::No, "leaving");
+  if (Shared.RefusingNew) {
+    endWithError({ErrorKind::Leaving, "", {}}, Ran::No, "leaving");
     return false;
   }
-  From = matchRoute(Shared.Index, fieldOf(Asked, "Host"), view(Asked.target()));
-  if (From == nullptr) {
-    endWith({ErrorKind::NotFound, "no route", {}}, Ran::No, "no_route");
+  RequestRoute = matchRoute(Shared.Index, fieldValue(Incoming, "Host"),
+                            toStringView(Incoming.target()));
+  if (RequestRoute == nullptr) {
+    endWithError({ErrorKind::NotFound, "no route", {}}, Ran::No, "no_route");
     return false;
   }
   return true;
 }
 
-bool Exchange::checkCaller() {
+/** Finds the workspace of the caller's key; if a key is required and unknown,
+ * ends the request. */
+bool Exchange::authenticateCaller() {
   if (!Shared.Index.KeysWanted)
     return true;
-  Owner = matchTenant(Shared.Index, fieldOf(Asked, "Authorization"));
-  if (Owner != nullptr || From->Anonymous)
+  Owner = matchTenant(Shared.Index, fieldValue(Incoming, "Authorization"));
+  if (Owner != nullptr || RequestRoute->Anonymous)
     return true;
-  endWith({ErrorKind::Unauthorized, "", {}}, Ran::No, "unknown_key");
+  endWithError({ErrorKind::Unauthorized, "", {}}, Ran::No, "unknown_key");
   return false;
 }
 
+/** Computes the request's deadline from the time that the caller says it still
+ * waits. */
 void Exchange::readDeadline() {
-  const auto Told = numberIn(fieldOf(Asked, Shared.Wire.names().Remaining));
-  Limit = Arrived + Millis(std::clamp(Told.value_or(MostRemaining), int64_t{0},
-                                      MostRemaining));
+  const auto MillisLeft =
+      parseNumber(fieldValue(Incoming, Shared.Wire.names().Remaining));
+  RequestDeadline =
+      ArrivalTime + Millis(std::clamp(MillisLeft.value_or(MaxRemainingMillis),
+                                      int64_t{0}, MaxRemainingMillis));
 }
 
-/** Gives the urgency: a tenant's goes before its route's. */
+/** Priority of the request, 0 first: its workspace's if set, else its route's.
+ */
 uint32_t Exchange::rank() const {
-  return Owner != nullptr && Owner->Rank ? *Owner->Rank : From->Rank;
+  return Owner != nullptr && Owner->Rank ? *Owner->Rank : RequestRoute->Rank;
 }
 
-bool Exchange::attemptsLeft() const {
-  return Sent < From->MaxAttempts && Tries < MaxTries;
+/** Says whether the request may have another attempt. */
+bool Exchange::hasAttemptsLeft() const {
+  return AttemptsSent < RequestRoute->MaxAttempts &&
+         AttemptsStarted < MaxAttemptsStarted;
 }
 
-/** Says whether the request may run again although it may have run. */
-bool Exchange::canRepeat() const {
-  if (From->Kind == RouteKind::Stream)
-    return From->Resumable;
-  return From->Kind == RouteKind::Idempotent;
+/** Says whether the request may be sent again after it may have been executed.
+ */
+bool Exchange::isRepeatable() const {
+  if (RequestRoute->Kind == RouteKind::Stream)
+    return RequestRoute->Resumable;
+  return RequestRoute->Kind == RouteKind::Idempotent;
 }
 
-void Exchange::tryNext() {
+/** Starts an attempt at the next suitable back end, or ends the request. */
+void Exchange::tryNextServer() {
   const TimePoint Now = Shared.Clock.now();
-  if (neededBy() - Now < LeastRemaining) {
-    limitCame();
+  if (nextPartDeadline() - Now < MinRemaining) {
+    handleDeadline();
     return;
   }
-  if (!attemptsLeft()) {
+  if (!hasAttemptsLeft()) {
     endWithoutServer({ErrorKind::Overloaded, "no attempt left", {}},
                      "no_attempt_left");
     return;
   }
   if (!mayAskMore(Search)) {
-    endWithoutServer({ErrorKind::Overloaded, "no place", RoomIn}, "no_place");
+    endWithoutServer({ErrorKind::Overloaded, "no place", ShortestRetryAfter},
+                     "no_place");
     return;
   }
   ServerChoice Choice = chooseServer(Shared.Pool, Needs, Now);
   if (Choice.Server == nullptr && takeBusyOnes(Search, Needs))
     Choice = chooseServer(Shared.Pool, Needs, Now);
   if (Choice.Server == nullptr) {
-    refusedBy(Choice);
+    handleNoServer(Choice);
     return;
   }
-  if (Sent > 0) {
+  if (AttemptsSent > 0) {
     if (!mayRepeat(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now)) {
       endWithoutServer({ErrorKind::Overloaded, "retry budget used up", {}},
                        "retry_budget");
@@ -211,97 +237,106 @@
       Shared.Counters.add(ForwardCount::Resumes);
   }
   logAttempt(*Choice.Server, Choice);
-  At = Choice.Server->Listed.Id;
-  attemptOpened(Shared.Pool, At);
+  ServerId = Choice.Server->Listed.Id;
+  attemptOpened(Shared.Pool, ServerId);
   if (hasAgent(*Choice.Server))
-    askPlace(*Choice.Server);
+    requestSlot(*Choice.Server);
   else
     sendTo(*Choice.Server);
 }
 
-void Exchange::refusedBy(const ServerChoice &Choice) {
+/** Ends the request because no back end could be chosen. */
+void Exchange::handleNoServer(const ServerChoice &Choice) {
   const bool Full = Choice.Why == PoolRefusal::AllFull || !Needs.Full.empty();
   const char *Reason = Full ? "all_full" : "none_usable";
   if (Choice.Limited > 0 && Choice.Limited == Choice.Candidates)
     Reason = "all_at_rate";
-  endWithoutServer({Full ? ErrorKind::Overloaded : ErrorKind::NoWorker,
-                    Needs.Service.Value,
-                    RoomIn.count() > 0 ? RoomIn : Choice.RetryAfter},
-                   Reason);
+  endWithoutServer(
+      {Full ? ErrorKind::Overloaded : ErrorKind::NoWorker, Needs.Service.Value,
+       ShortestRetryAfter.count() > 0 ? ShortestRetryAfter : Choice.RetryAfter},
+      Reason);
 }
 
+/** Sends the request to a back end. */
 void Exchange::sendTo(const ServerView &Server) {
   const TimePoint Now = Shared.Clock.now();
   const HeaderNames &Names = Shared.Wire.names();
-  if (PlaceId.Value.empty())
-    sentPastAgent(Shared.Pool, At, Now);
-  PassedOn Passed;
-  Passed.Remaining = toMillis(Limit - Now);
-  Passed.Server = Server.Listed.Id;
-  Passed.Version = versionToDemand(Shared.Pool, At, Now);
-  if (HeadSent) { // Goes on with the weights that began it.
-    Passed.Version = fieldOf(Head, Names.WeightVersion);
-    Passed.LastEventId = Events.LastId;
+  if (SlotId.Value.empty())
+    sentPastAgent(Shared.Pool, ServerId, Now);
+  AttemptHeaders Added;
+  Added.Remaining = toMillis(RequestDeadline - Now);
+  Added.Server = Server.Listed.Id;
+  Added.Version = versionToDemand(Shared.Pool, ServerId, Now);
+  if (HeadSent) { // A stream resumes on the weights that began it.
+    Added.Version = fieldValue(Head, Names.WeightVersion);
+    Added.LastEventId = Events.LastId;
   }
-  Passed.Tenant = Owner == nullptr ? "" : Owner->Name.Value;
-  Passed.Rank = rank();
-  CallPlan Plan;
-  Plan.To = Server.Listed.At;
-  Plan.Bytes = requestBytes(Asked, Names, Passed);
-  Plan.IdHeader = Names.AttemptId;
-  Plan.AttemptId = Id;
-  // A kept connection may be closed by the other end just as the request is
-  // sent. Whether it ran is then unknown, so what may not be repeated goes over
-  // a new one: a round trip more, and no lost bookings.
-  Plan.NewConnection = NewConnection || !canRepeat();
-  Plan.NoBody = Asked.method() == http::verb::head;
-  Plan.MostKept = connectionsToKeep(Shared.Pool, Server.Listed.Service);
+  Added.Tenant = Owner == nullptr ? "" : Owner->Name.Value;
+  Added.Rank = rank();
+  BackEndRequest Sending;
+  Sending.To = Server.Listed.At;
+  Sending.Bytes = requestBytes(Incoming, Names, Added);
+  Sending.AttemptIdHeader = Names.AttemptId;
+  Sending.AttemptId = Id;
+  // The back end may close a pooled connection just as the request is sent, and
+  // whether the request ran is then unknown. Requests that may not be repeated
+  // use a new connection: one more round trip, but no lost bookings.
+  Sending.ForceNewConnection = ForceNewConnection || !isRepeatable();
+  Sending.NoResponseBody = Incoming.method() == http::verb::head;
+  Sending.MaxIdle = connectionsToKeep(Shared.Pool, Server.Listed.Service);
   Mode = AnswerMode::Waiting;
   Body.clear();
   dropPartialEvent(Events);
-  CallBegan = Now;
-  SentOn = Server.Weights;
+  CallStartTime = Now;
+  WeightsWhenSent = Server.Weights;
   LastProgress = Now;
-  ++Tries;
-  ++Sent; // Taken back where no connection comes about.
-  Places += (Places.empty() ? "" : ",") + At.Value;
+  ++AttemptsStarted;
+  ++AttemptsSent; // Undone if no connection can be opened.
+  TriedServers += (TriedServers.empty() ? "" : ",") + ServerId.Value;
   Call = std::make_shared<BackEndCall>(Shared.Io, Shared.Connections,
-                                       std::move(Plan), *this);
+                                       std::move(Sending), *this);
   armTimer();
-  Call->start(std::min(ConnectLimit, toMillis(Limit - Now)));
+  Call->start(std::min(ConnectLimit, toMillis(RequestDeadline - Now)));
 }
 
-void Exchange::attemptOver(AttemptEnd How) {
+/** Ends the current attempt: logs it, releases its slot and counts it for the
+ * back end. */
+void Exchange::concludeAttempt(AttemptEnd How) {
   const TimePoint Now = Shared.Clock.now();
   const bool WasSent = Call != nullptr;
-  const bool Open = WasSent || Asking;
+  const bool Open = WasSent || AwaitingSlot;
   if (WasSent && How != AttemptEnd::Answered)
-    logAttemptEnd(How, Now - CallBegan);
-  placeOver(How);
+    logAttemptEnd(How, Now - CallStartTime);
+  releaseSlot(How);
   if (!Open)
     return;
   Call.reset();
-  attemptClosed(Shared.Pool, At, WasSent ? How : AttemptEnd::NotSent,
-                Now - CallBegan, Now);
+  attemptClosed(Shared.Pool, ServerId, WasSent ? How : AttemptEnd::NotSent,
+                Now - CallStartTime, Now);
 }
 
-/** No back end can take it: it is refused, unless it may have run. */
+/** Ends a request that no back end can take: refused, or with an unknown
+ * outcome if an attempt may have been executed. */
 void Exchange::endWithoutServer(Failure Why, const char *Reason) {
   if (!MayHaveRun) {
     if (Why.Kind == ErrorKind::Overloaded)
-      Why.RetryAfter = std::max(retryAfter(Why),
-                                toMillis(awayToBeKnown(Shared.Callers, *From)));
-    endWith(Why, Ran::No, Reason);
+      Why.RetryAfter = std::max(
+          retryAfter(Why),
+          toMillis(awayToBeKnown(Shared.CallerDeadlines, *RequestRoute)));
+    endWithError(Why, Ran::No, Reason);
     return;
   }
-  endWith({ErrorKind::OutcomeUnknown, Why.Detail, {}}, Ran::Unknown, Reason);
+  endWithError({ErrorKind::OutcomeUnknown, Why.Detail, {}}, Ran::Unknown,
+               Reason);
 }
 
-void Exchange::endWith(const Failure &Why, Ran Executed, const char *Reason) {
+/** Ends the request with an error; a stream that has begun is aborted. */
+void Exchange::endWithError(const Failure &Why, Ran Executed,
+                            const char *Reason) {
   const auto Self = shared_from_this();
   if (Call)
     Call->cancel();
-  attemptOver(AttemptEnd::Dropped);
+  concludeAttempt(AttemptEnd::Dropped);
   const ErrorAnswer &Row = answerFor(Why.Kind);
   const auto Status = static_cast<unsigned>(Row.HttpStatus);
   Shared.Counters.add(Executed == Ran::No ? ForwardCount::Refused
@@ -309,35 +344,38 @@
   logEnd(Row.Name, HeadSent ? 0 : Status, Reason);
   const auto To = Session;
   finish();
-  if (HeadSent) { // An end that looked whole would hide what is missing.
+  if (HeadSent) { // A regular end would make the stream look complete.
     To->abort();
     return;
   }
   CallerAnswer Out;
   Out.result(Status);
   Out.set(http::field::content_type, "application/json");
-  const Millis Again =
-      comeBackAfter(Why, Limit - Shared.Clock.now(), Shared.Pool.Random);
-  const bool Promises = Executed == Ran::No && (Status == 503 || Status == 429);
-  if (Promises && Again.count() > 0)
-    Out.set(http::field::retry_after, secondsText(Again));
+  const Millis RetryDelay = comeBackAfter(
+      Why, RequestDeadline - Shared.Clock.now(), Shared.Pool.Random);
+  const bool MayRetry = Executed == Ran::No && (Status == 503 || Status == 429);
+  if (MayRetry && RetryDelay.count() > 0)
+    Out.set(http::field::retry_after, formatSeconds(RetryDelay));
   Out.body() = errorBody(Why, Executed, RequestId{Id});
   To->answer(std::move(Out));
 }
 
-void Exchange::callerGone() {
+/** Cancels the request, since its caller closed the connection. */
+void Exchange::handleCallerDisconnect() {
   const auto Self = shared_from_this();
   if (!Session)
     return;
-  // Whoever left needs no answer: the back end is free for others.
+  // Nobody waits for the response any more: free the back end for others.
   if (Call)
     Call->cancel();
-  attemptOver(AttemptEnd::Dropped);
+  concludeAttempt(AttemptEnd::Dropped);
   Shared.Counters.add(ForwardCount::CallersGone);
   logEnd("caller_gone", 0, HeadSent ? "in_stream" : "before_answer");
   finish();
 }
 
+/** Detaches the exchange from its session and timer; nothing happens after
+ * this. */
 void Exchange::finish() {
   Timer.cancel();
   Session.reset();
--- a/packages/entry/src/forward/exchange.h
+++ b/packages/entry/src/forward/exchange.h
@@ -1,4 +1,4 @@
-/** @file exchange.h One request on a route, from its arrival to its answer. */
+/** @file exchange.h One request on a route, from arrival to response. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_EXCHANGE_H
 #define JACINTHPOND_ENTRY_FORWARD_EXCHANGE_H
@@ -16,128 +16,131 @@
 
 namespace jacinthpond {
 
-/** One request; lives as long as its session works on it. */
-class Exchange final : public SessionWork,
-                       public CallEvents,
-                       public PlaceWaiter,
-                       public ViewWaiter,
+/**
+ * Forwards one request to back ends, with retries, until it has a response.
+ * The caller's session keeps it alive until then.
+ */
+class Exchange final : public DisconnectHandler,
+                       public BackEndCallHandler,
+                       public SlotWaiter,
+                       public ReadinessWaiter,
                        public std::enable_shared_from_this<Exchange> {
 public:
   /**
-   * Sets up; start() begins.
+   * Creates an exchange; start() begins to work on it.
    * @param Shared State of the traffic thread.
-   * @param Session Where the answer goes.
-   * @param Asked The request.
+   * @param Session Connection of the caller, which gets the response.
+   * @param Incoming The request.
    */
   Exchange(ForwardContext &Shared, std::shared_ptr<CallerSession> Session,
-           CallerRequest Asked);
+           CallerRequest Incoming);
   ~Exchange() override;
   Exchange(const Exchange &) = delete;
   Exchange &operator=(const Exchange &) = delete;
 
-  /** Finds the route and sends the request on, or refuses it. */
+  /** Finds the route and forwards the request, or refuses it. */
   void start();
 
-  void callerGone() override;
-  void placeAnswered(const PlaceAnswer &Answer) override;
-  void viewCame() override;
-  void callHead(const ResponseHead &Head) override;
-  void callBody(std::string Bytes) override;
-  void callEnded() override;
-  void callFailed(CallFailure Why) override;
+  void handleCallerDisconnect() override;
+  void handleSlotAnswer(const PlaceAnswer &Answer) override;
+  void handleEntryReady() override;
+  void handleAnswerHead(const ResponseHead &Head) override;
+  void handleAnswerBody(std::string Bytes) override;
+  void handleAnswerEnd() override;
+  void handleCallFailure(CallFailure Why) override;
 
 private:
-  /** What is done with the answer under way. */
+  /** How the current response is handled. */
   enum class AnswerMode : uint8_t {
-    Waiting, ///< No head yet.
-    Refusal, ///< The back end did not run the request.
-    Whole,   ///< Passed on once it is whole.
-    Events   ///< Passed on event by event.
+    Waiting, ///< Its head has not been received yet.
+    Refusal, ///< Dropped: the back end did not run the request.
+    Whole,   ///< Sent to the caller once it is complete.
+    Events   ///< Streamed to the caller, event by event.
   };
 
-  bool hasView() const;
-  bool waitForView();
-  void begin();
+  bool isEntryReady() const;
+  bool waitUntilReady();
+  void startForwarding();
   bool findRoute();
-  bool checkCaller();
+  bool authenticateCaller();
   void readDeadline();
-  void tryNext();
-  bool couldGoElsewhere(TimePoint Now);
-  void askPlace(const ServerView &Server);
-  Millis firstPartWithin(TimePoint Now) const;
-  void placeOver(AttemptEnd How);
-  void askElsewhere(bool OnlyBusy);
-  void agentDidNotAnswer();
+  void tryNextServer();
+  bool canUseOtherServer(TimePoint Now);
+  void requestSlot(const ServerView &Server);
+  Millis firstPartTimeLeft(TimePoint Now) const;
+  void releaseSlot(AttemptEnd How);
+  void tryOtherServer(bool OnlyBusy);
+  void handleSlotTimeout();
   void sendTo(const ServerView &Server);
-  void refusedBy(const ServerChoice &Choice);
-  void attemptOver(AttemptEnd How);
-  void answerBroke();
-  void deliverWhole();
-  void beginEvents();
-  bool canRepeat() const;
-  bool attemptsLeft() const;
-  void endWith(const Failure &Why, Ran Executed, const char *Reason);
+  void handleNoServer(const ServerChoice &Choice);
+  void concludeAttempt(AttemptEnd How);
+  void abandonAnswer();
+  void sendWholeAnswer();
+  void beginStream();
+  bool isRepeatable() const;
+  bool hasAttemptsLeft() const;
+  void endWithError(const Failure &Why, Ran Executed, const char *Reason);
   void endWithoutServer(Failure Why, const char *Reason);
   void armTimer();
-  void timeCame();
-  void limitCame();
+  void handleTimer();
+  void handleDeadline();
   uint32_t rank() const;
-  Duration patience(bool Alive) const;
-  TimePoint neededBy() const;
-  TimePoint nextLook(TimePoint Now) const;
-  Duration quietBeforeQuestion() const;
-  void askForSign(TimePoint Now);
-  void noteOwnStall(TimePoint Now);
-  bool hostStandsStill(TimePoint Now) const;
-  std::optional<TimePoint> beginLimit() const;
-  bool silentTooLong(TimePoint Now) const;
-  void noteRate(const ResponseHead &Came, bool Success);
-  void takeRate(std::optional<double> PerSecond, std::string_view Field);
-  void logHeld() const;
-  void logRate(RateChange Change, std::string_view Came) const;
+  Duration silenceLimit(bool Alive) const;
+  TimePoint nextPartDeadline() const;
+  TimePoint nextCheckTime(TimePoint Now) const;
+  Duration silenceBeforePing() const;
+  void pingSilentHost(TimePoint Now);
+  void discardProbeAfterStall(TimePoint Now);
+  bool isServerHostUnresponsive(TimePoint Now) const;
+  std::optional<TimePoint> attemptStartDeadline() const;
+  bool isSilentTooLong(TimePoint Now) const;
+  void readRateLimit(const ResponseHead &Received, bool Success);
+  void applyRateLimit(std::optional<double> PerSecond, std::string_view Field);
+  void logWaitForReadiness() const;
+  void logRateChange(RateChange Change, std::string_view Header) const;
   void logAttempt(const ServerView &Server, const ServerChoice &Choice) const;
   void logAttemptEnd(AttemptEnd How, Duration Took) const;
   void logEnd(const char *Outcome, unsigned Status, const char *Reason);
   void finish();
 
   ForwardContext &Shared;
-  std::shared_ptr<CallerSession> Session; ///< Null once it is over.
-  CallerRequest Asked;
-  std::string Id;                ///< Caller's id of this attempt.
-  DocumentPtr Doc;               ///< In force when it came; keeps From alive.
-  const Route *From = nullptr;   ///< Its route.
-  const Tenant *Owner = nullptr; ///< Its tenant; null: none.
+  std::shared_ptr<CallerSession> Session; ///< Null once the exchange is over.
+  CallerRequest Incoming;
+  std::string Id;  ///< Id that the caller gave the request; for logs too.
+  DocumentPtr Doc; ///< In force when the route was matched; owns RequestRoute.
+  const Route *RequestRoute = nullptr; ///< Matched route; null: none yet.
+  const Tenant *Owner = nullptr;       ///< Workspace of the caller; null: none.
   ServerNeeds Needs;
-  TimePoint Arrived;
-  Duration Age{0};     ///< Time for which its caller had been trying.
-  TimePoint Limit;     ///< The caller's deadline or the route's timeout.
-  TimePoint LastGiven; ///< When it came, or its caller was sent a part last.
+  TimePoint ArrivalTime;
+  Duration CallerAge{0};      ///< Time the caller had tried before arrival.
+  TimePoint RequestDeadline;  ///< The caller's deadline or the route's timeout.
+  TimePoint LastSentToCaller; ///< Last part sent to the caller, or arrival.
   boost::asio::steady_timer Timer;
-  TimePoint LookAt; ///< When the timer should fire.
+  TimePoint TimerDue; ///< When the timer should fire.
 
-  std::shared_ptr<BackEndCall> Call; ///< Attempt under way; may be null.
-  InstanceId At;                     ///< Where it is.
-  TimePoint CallBegan;
-  Digest SentOn;          ///< Weights there when it was sent; empty: no model.
-  TimePoint LastProgress; ///< Last byte of the answer, or CallBegan.
+  std::shared_ptr<BackEndCall> Call; ///< Current attempt; may be null.
+  InstanceId ServerId;               ///< Back end of the current attempt.
+  TimePoint CallStartTime;
+  Digest WeightsWhenSent; ///< Weights there at sending; empty: no model.
+  TimePoint LastProgress; ///< Last byte of the response, or CallStartTime.
   AnswerMode Mode = AnswerMode::Waiting;
-  ResponseHead Head;        ///< Of the answer under way.
-  std::string Body;         ///< Of a whole answer, so far.
-  AttemptId PlaceId;        ///< Asked for or held; empty: none.
-  LinkId PlaceLink;         ///< Agent that was asked.
-  bool Asking = false;      ///< Its answer is awaited.
-  TimePoint AskUntil;       ///< The agent is taken for silent after that.
-  PlaceSearch Search;       ///< Agents asked for a place.
-  Millis RoomIn{0};         ///< Shortest time to room that an agent told.
-  uint32_t Sent = 0;        ///< Attempts that reached a back end.
-  uint32_t Tries = 0;       ///< Attempts, those without a connection included.
-  bool HeldForView = false; ///< Waits until this entry is ready.
-  bool NewConnection = false; ///< A kept connection turned out to be closed.
-  bool MayHaveRun = false;    ///< Some attempt may have been executed.
-  bool HeadSent = false;      ///< The caller has the head of a stream.
+  ResponseHead Head;            ///< Head of the response that the caller gets.
+  std::string Body;             ///< Body received so far in mode Whole.
+  AttemptId SlotId;             ///< Slot requested or held; empty: none.
+  LinkId SlotAgentLink;         ///< Link to the agent that grants the slot.
+  bool AwaitingSlot = false;    ///< The agent has not answered yet.
+  TimePoint SlotAnswerDeadline; ///< Another back end is tried after this.
+  PlaceSearch Search;           ///< State of the search for an idle back end.
+  Millis ShortestRetryAfter{0}; ///< Shortest retry time from agents; 0: none.
+  uint32_t AttemptsSent = 0;    ///< Attempts that reached a back end.
+  uint32_t AttemptsStarted = 0; ///< Attempts, failed connections included.
+  bool WaitingForReadiness = false; ///< Waits until this entry is ready.
+  bool ForceNewConnection = false;  ///< A pooled connection was found closed.
+  bool MayHaveRun = false;          ///< Some attempt may have been executed.
+  bool HeadSent = false;            ///< The caller got the head of a stream.
   EventStream Events;
-  std::string Places; ///< Back ends tried, for the log.
-  std::optional<TimePoint> FirstByte;
+  std::string TriedServers; ///< Back ends tried, comma-separated, for the log.
+  std::optional<TimePoint> FirstByteTime;
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/exchange_answer.cpp
+++ b/packages/entry/src/forward/exchange_answer.cpp
@@ -1,4 +1,4 @@
-/** @file exchange_answer.cpp What is done with the answer of a back end. */
+/** @file exchange_answer.cpp Handling the response of a back end. */
 
 #include "forward/exchange.h"
 
@@ -14,105 +14,109 @@
 
 namespace {
 
-/** Bytes that may wait for a caller that reads slowly. */
-constexpr size_t MaxBacklog = 1 << 20;
-/** Largest answer that is held until it is whole. */
-constexpr size_t MaxWholeAnswer = 16 << 20;
+/** Maximum bytes buffered for a caller that reads slowly. */
+constexpr size_t MaxCallerBacklogBytes = 1 << 20;
+/** Maximum size of a response that is buffered until it is complete. */
+constexpr size_t MaxWholeAnswerBytes = 16 << 20;
 
 } // namespace
 
 /**
- * Takes the rate limit that a back end names. Only a success without one says
- * that there is none: refusals and failures may come from a part of the back
- * end that never names it.
+ * Reads the rate limit headers of a response. The limit counts as lifted only
+ * when a successful response has none: refusals and failures may come from a
+ * part of the back end that never sends these headers.
  */
-void Exchange::noteRate(const ResponseHead &Came, bool Success) {
+void Exchange::readRateLimit(const ResponseHead &Received, bool Success) {
   const auto &Names = Shared.Wire.names().RateLimits;
   const auto it = std::ranges::find_if(
-      Names, [&](const std::string &Name) { return Came.count(Name) > 0; });
+      Names, [&](const std::string &Name) { return Received.count(Name) > 0; });
   if (it == Names.end()) {
-    if (Success && isRateLimited(Shared.Pool, At))
-      takeRate(std::nullopt, "");
+    if (Success && isRateLimited(Shared.Pool, ServerId))
+      applyRateLimit(std::nullopt, "");
     return;
   }
-  const std::string_view Value = fieldOf(Came, *it);
-  const size_t Times = Came.count(*it);
+  const std::string_view Value = fieldValue(Received, *it);
+  const size_t Times = Received.count(*it);
   const auto PerSecond = Shared.Wire.rateLimitOf(Value);
   if (PerSecond && Times == 1)
-    takeRate(PerSecond, *it + ":" + std::string(Value));
+    applyRateLimit(PerSecond, *it + ":" + std::string(Value));
   else
     logLine(LogPart::Requests, LogLevel::Warn,
             "event=rate_limit_unreadable id=" + logValue(Id) +
-                " server=" + At.Value + " field=" + logValue(*it) + " value=" +
-                logValue(Value) + " times=" + std::to_string(Times));
+                " server=" + ServerId.Value + " field=" + logValue(*it) +
+                " value=" + logValue(Value) +
+                " times=" + std::to_string(Times));
 }
 
-/** Tells a limit, or its end, to the agent that gives the places there, and
- * where there is none to the entries that split the limit. */
-void Exchange::takeRate(std::optional<double> PerSecond,
-                        std::string_view Field) {
+/** Records a back end's rate limit, or that it has none. Notifies the agent
+ * that grants its slots; without an agent, the entries that share the limit. */
+void Exchange::applyRateLimit(std::optional<double> PerSecond,
+                              std::string_view Field) {
   const TimePoint Now = Shared.Clock.now();
   const RateChange Change =
-      rateHeard(Shared.Pool, At, PerSecond, CallBegan, Now);
-  logRate(Change, Field);
-  const auto it = Shared.Pool.Servers.find(At);
+      rateHeard(Shared.Pool, ServerId, PerSecond, CallStartTime, Now);
+  logRateChange(Change, Field);
+  const auto it = Shared.Pool.Servers.find(ServerId);
   if (it == Shared.Pool.Servers.end())
     return;
-  const Millis Age = PerSecond ? Millis(0) : toMillis(Now - CallBegan);
-  const RateHeard Told{PlaceId, At, PerSecond,
-                       static_cast<uint64_t>(Age.count())};
+  const Millis Age = PerSecond ? Millis(0) : toMillis(Now - CallStartTime);
+  const RateHeard Notice{SlotId, ServerId, PerSecond,
+                         static_cast<uint64_t>(Age.count())};
   if (hasAgent(it->second))
-    Shared.SendToAgent(it->second.Agent->Link, Told);
+    Shared.SendToAgent(it->second.Agent->Link, Notice);
   else if (Change != RateChange::None)
-    Shared.SendToEntries(Told);
+    Shared.SendToEntries(Notice);
 }
 
-void Exchange::callHead(const ResponseHead &Came) {
+/** Checks the head of a response and decides how its body is handled. */
+void Exchange::handleAnswerHead(const ResponseHead &Received) {
   const TimePoint Now = Shared.Clock.now();
   const HeaderNames &Names = Shared.Wire.names();
   LastProgress = Now;
-  serverHeard(Shared.Pool, At, Now);
-  if (const auto Busy = Shared.Wire.busyOf(fieldOf(Came, Names.Load)))
-    loadTold(Shared.Pool, At, *Busy, Now);
-  const unsigned Status = Came.result_int();
-  const bool Misdirected = Status == 421; // Another one may hold the address.
-  const bool NotRun = !fieldOf(Came, Names.NotExecuted).empty();
+  serverHeard(Shared.Pool, ServerId, Now);
+  if (const auto Busy = Shared.Wire.busyOf(fieldValue(Received, Names.Load)))
+    loadTold(Shared.Pool, ServerId, *Busy, Now);
+  const unsigned Status = Received.result_int();
+  const bool Misdirected = Status == 421; // Another run may have the address.
+  const bool NotRun = !fieldValue(Received, Names.NotExecuted).empty();
   const bool Success = Status >= 200 && Status < 300;
-  const bool Signed = !fieldOf(Came, Names.Signature).empty();
+  const bool Signed = !fieldValue(Received, Names.Signature).empty();
   if (!Misdirected)
-    noteRate(Came, Success && Signed);
+    readRateLimit(Received, Success && Signed);
   if (Misdirected || NotRun) {
     if (Misdirected) {
-      serverMisjudged(Shared.Pool, At, Now);
-      Shared.Counters.add(ForwardCount::Misjudged);
+      serverMisjudged(Shared.Pool, ServerId, Now);
+      Shared.Counters.add(ForwardCount::Mismatched);
     }
     Mode = AnswerMode::Refusal;
     return;
   }
-  const bool Foreign =
-      (Success && !Signed) || !fieldOf(Came, "Content-Encoding").empty();
-  const bool OtherWeights = HeadSent && fieldOf(Came, Names.WeightVersion) !=
-                                            fieldOf(Head, Names.WeightVersion);
-  if (Foreign || OtherWeights || (HeadSent && !Success)) {
-    answerBroke();
+  const bool Unusable =
+      (Success && !Signed) || !fieldValue(Received, "Content-Encoding").empty();
+  const bool OtherWeights =
+      HeadSent && fieldValue(Received, Names.WeightVersion) !=
+                      fieldValue(Head, Names.WeightVersion);
+  if (Unusable || OtherWeights || (HeadSent && !Success)) {
+    abandonAnswer();
     return;
   }
   if (!HeadSent)
-    Head = Came;
+    Head = Received;
   const bool IsEvents =
-      fieldOf(Came, "Content-Type").starts_with("text/event-stream");
+      fieldValue(Received, "Content-Type").starts_with("text/event-stream");
   Mode = Success && IsEvents ? AnswerMode::Events : AnswerMode::Whole;
 }
 
-void Exchange::callBody(std::string Bytes) {
+/** Buffers a part of a body or streams its complete events to the caller. */
+void Exchange::handleAnswerBody(std::string Bytes) {
   LastProgress = Shared.Clock.now();
-  serverHeard(Shared.Pool, At, LastProgress);
+  serverHeard(Shared.Pool, ServerId, LastProgress);
   if (Mode == AnswerMode::Refusal)
     return;
   if (Mode == AnswerMode::Whole) {
     Body += Bytes;
-    if (Body.size() > MaxWholeAnswer)
-      answerBroke();
+    if (Body.size() > MaxWholeAnswerBytes)
+      abandonAnswer();
     return;
   }
   const auto Self = shared_from_this();
@@ -120,45 +124,47 @@
   const EventVerdict Verdict = putEvents(Events, Bytes, Whole);
   if (!Whole.empty()) {
     if (!HeadSent)
-      beginEvents();
+      beginStream();
     Session->sendBody(Whole);
-    LastGiven = LastProgress;
+    LastSentToCaller = LastProgress;
   }
   if (Verdict != EventVerdict::Good)
-    answerBroke();
-  else if (Session && Session->backlog() > MaxBacklog)
-    endWith({ErrorKind::PartialAnswer, "the caller does not read", {}},
-            Ran::Yes, "caller_slow");
+    abandonAnswer();
+  else if (Session && Session->backlog() > MaxCallerBacklogBytes)
+    endWithError({ErrorKind::PartialAnswer, "the caller does not read", {}},
+                 Ran::Yes, "caller_slow");
 }
 
-void Exchange::beginEvents() {
+/** Sends the head of a stream to the caller. */
+void Exchange::beginStream() {
   HeadSent = true;
-  Needs.Weights = weightsAt(Shared.Pool, At);
-  FirstByte = Shared.Clock.now();
-  firstPartCame(Shared.Pool, Needs.Service, *FirstByte - CallBegan);
+  Needs.Weights = weightsAt(Shared.Pool, ServerId);
+  FirstByteTime = Shared.Clock.now();
+  firstPartCame(Shared.Pool, Needs.Service, *FirstByteTime - CallStartTime);
   CallerAnswerHead Out;
   Out.result(Head.result());
   copyAnswerHeaders(Head, Out);
   Session->beginBody(std::move(Out));
 }
 
-void Exchange::callEnded() {
+/** Ends the request with a complete response, or retries after a refusal. */
+void Exchange::handleAnswerEnd() {
   const auto Self = shared_from_this();
   if (Mode == AnswerMode::Refusal) {
     Shared.Counters.add(ForwardCount::NotExecuted);
-    attemptOver(AttemptEnd::Refused);
-    Needs.Tried.insert(At);
-    tryNext();
+    concludeAttempt(AttemptEnd::Refused);
+    Needs.Tried.insert(ServerId);
+    tryNextServer();
     return;
   }
   if (Mode == AnswerMode::Events) {
     if (!Events.Partial.empty()) {
-      answerBroke();
+      abandonAnswer();
       return;
     }
-    attemptOver(AttemptEnd::Answered);
+    concludeAttempt(AttemptEnd::Answered);
     if (!HeadSent)
-      beginEvents();
+      beginStream();
     logEnd("answered", Head.result_int(), "stream");
     Shared.Counters.add(ForwardCount::Answered);
     const auto To = Session;
@@ -166,23 +172,25 @@
     To->endBody();
     return;
   }
-  deliverWhole();
+  sendWholeAnswer();
 }
 
-void Exchange::deliverWhole() {
+/** Sends a complete response to the caller, or retries after a server error. */
+void Exchange::sendWholeAnswer() {
   const bool Failed = Head.result_int() >= 500;
-  attemptOver(Failed ? AttemptEnd::Error : AttemptEnd::Answered);
+  concludeAttempt(Failed ? AttemptEnd::Error : AttemptEnd::Answered);
   const TimePoint Now = Shared.Clock.now();
   MayHaveRun = MayHaveRun || Failed;
-  // A back end's error on work that may be repeated is often its own: another
-  // one answers. When there is none the caller gets the error as it came.
-  if (Failed && canRepeat() && attemptsLeft() &&
-      Limit - Now > Millis(From->Target.count() / 4) && couldGoElsewhere(Now)) {
-    Needs.Tried.insert(At);
-    tryNext();
+  // An error is often specific to one back end, so a repeatable request is
+  // tried at another. If there is none, the caller gets the error unchanged.
+  if (Failed && isRepeatable() && hasAttemptsLeft() &&
+      RequestDeadline - Now > Millis(RequestRoute->Target.count() / 4) &&
+      canUseOtherServer(Now)) {
+    Needs.Tried.insert(ServerId);
+    tryNextServer();
     return;
   }
-  FirstByte = Now;
+  FirstByteTime = Now;
   CallerAnswer Out;
   Out.result(Head.result());
   copyAnswerHeaders(Head, Out);
@@ -194,54 +202,55 @@
   To->answer(std::move(Out));
 }
 
-/** Says whether another back end would take the request. The budget is asked
- * again when the attempt is made; here it is only felt whether there is any, so
- * that what is in hand is not thrown away. */
-bool Exchange::couldGoElsewhere(TimePoint Now) {
+/** Says whether another back end could take the request, so that the current
+ * response isn't dropped for nothing. Only checks the retry budget; the next
+ * attempt draws on it. */
+bool Exchange::canUseOtherServer(TimePoint Now) {
   ServerNeeds Other = Needs;
-  Other.Tried.insert(At);
+  Other.Tried.insert(ServerId);
   return chooseServer(Shared.Pool, Other, Now).Server != nullptr &&
          repeatsLeft(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now);
 }
 
-/** What came cannot be used, or stopped coming. */
-void Exchange::answerBroke() {
-  if (hostStandsStill(Shared.Clock.now()))
-    Shared.Counters.add(ForwardCount::StoodStill);
+/** Cancels the call, since its response is unusable or has stalled. */
+void Exchange::abandonAnswer() {
+  if (isServerHostUnresponsive(Shared.Clock.now()))
+    Shared.Counters.add(ForwardCount::HostUnresponsive);
   if (Call)
     Call->cancel();
-  callFailed(CallFailure::Broken);
+  handleCallFailure(CallFailure::Broken);
 }
 
-void Exchange::callFailed(CallFailure Why) {
+/** Retries a failed attempt if that is allowed, else ends the request. */
+void Exchange::handleCallFailure(CallFailure Why) {
   const auto Self = shared_from_this();
   if (Why == CallFailure::Unreached) {
     Shared.Counters.add(ForwardCount::Unreached);
-    attemptOver(AttemptEnd::Unreached);
-    --Sent; // Nothing reached a back end.
-    Needs.Tried.insert(At);
-    tryNext();
+    concludeAttempt(AttemptEnd::Unreached);
+    --AttemptsSent; // Nothing was sent.
+    Needs.Tried.insert(ServerId);
+    tryNextServer();
     return;
   }
-  if (Why == CallFailure::Stale && canRepeat()) {
-    // The other end closed it while it was idle: no fault of the back end.
-    attemptOver(AttemptEnd::Dropped);
-    --Sent;
-    NewConnection = true;
-    tryNext();
+  if (Why == CallFailure::Stale && isRepeatable()) {
+    // The idle connection had been closed: not a failure of the back end.
+    concludeAttempt(AttemptEnd::Dropped);
+    --AttemptsSent;
+    ForceNewConnection = true;
+    tryNextServer();
     return;
   }
   Shared.Counters.add(ForwardCount::Broken);
-  attemptOver(AttemptEnd::Broken);
+  concludeAttempt(AttemptEnd::Broken);
   MayHaveRun = true;
-  Needs.Tried.insert(At);
-  const bool Continuable = !HeadSent || Events.LastId;
-  if (canRepeat() && Continuable) {
-    tryNext();
+  Needs.Tried.insert(ServerId);
+  const bool CanResume = !HeadSent || Events.LastId;
+  if (isRepeatable() && CanResume) {
+    tryNextServer();
     return;
   }
-  endWith({ErrorKind::OutcomeUnknown, "the answer broke off", {}}, Ran::Unknown,
-          "back_end_broke");
+  endWithError({ErrorKind::OutcomeUnknown, "the answer broke off", {}},
+               Ran::Unknown, "back_end_broke");
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/exchange_log.cpp
+++ b/packages/entry/src/forward/exchange_log.cpp
@@ -1,6 +1,6 @@
-/** @file exchange_log.cpp What is logged of a request on a route: one line for
- * each attempt that is decided on, each that fails, and the end. Every line has
- * the caller's id and the inputs of the decision with their age or version.
+/** @file exchange_log.cpp Log lines for requests on routes: one for each
+ * attempt that starts, each that fails, and the end. Every line has the
+ * caller's id and the inputs of the decision with their age or version.
  */
 
 #include "forward/exchange.h"
@@ -18,88 +18,97 @@
 
 namespace {
 
-/** Word of each AttemptEnd in log lines, in enum order. */
-constexpr std::array<std::string_view, 7> AttemptEndNames = {
+/** Log value of each AttemptEnd, in enum order. */
+constexpr std::array<std::string_view, 7> AttemptEndWords = {
     "answered", "back_end_error", "not_executed", "unreached",
     "broken",   "given_up",       "not_sent"};
 
-/** Milliseconds since a moment; one that never was is the longest ago. */
-std::string ageOf(TimePoint Then, TimePoint Now) {
+/** Milliseconds since a time; the maximum if the time was never set. */
+std::string millisSince(TimePoint Then, TimePoint Now) {
   constexpr int64_t MostMillis = 999999;
   return std::to_string(std::min(
       MostMillis, toMillis(Now - std::max(Then, TimePoint{})).count()));
 }
 
-/** Id of the last event that the caller was sent. */
-std::string lastEvent(const EventStream &Events) {
+/** Id of the last event sent to the caller; "-" if there is none. */
+std::string lastEventText(const EventStream &Events) {
   return Events.LastId ? std::to_string(*Events.LastId) : "-";
 }
 
 } // namespace
 
-void Exchange::logHeld() const {
+/** Logs that the request waits until this entry is ready. */
+void Exchange::logWaitForReadiness() const {
   const Duration Longest = Shared.Fleet.ReadyBy - Shared.Clock.now();
   logLine(LogPart::Requests, LogLevel::Info,
           "event=held id=" + logValue(Id) +
               " document=" + (Shared.Doc == nullptr ? "no" : "yes") +
               " longest_ms=" + std::to_string(toMillis(Longest).count()) +
-              " held=" + std::to_string(Shared.Held.size()));
+              " held=" + std::to_string(Shared.ReadinessWaiters.size()));
 }
 
+/** Logs an attempt that is about to start, and why this back end was chosen. */
 void Exchange::logAttempt(const ServerView &Server,
                           const ServerChoice &Choice) const {
   const TimePoint Now = Shared.Clock.now();
   const WantedWeights *Wanted = wantedAt(Shared.Pool, Server);
-  logLine(
-      LogPart::Requests, LogLevel::Info,
-      "event=attempt id=" + logValue(Id) + " n=" + std::to_string(Sent + 1) +
-          " server=" + Server.Listed.Id.Value + " at=" +
-          Server.Listed.At.Value + " open=" + std::to_string(Server.Open) +
-          " others=" + std::to_string(Server.OtherWork) +
-          " told_ms=" + ageOf(Server.ToldAt, Now) +
-          " left_ms=" + std::to_string(toMillis(Limit - Now).count()) +
-          " caller_age_ms=" + std::to_string(toMillis(Age).count()) +
-          " candidates=" + std::to_string(Choice.Candidates) +
-          " weights=" + logValue(Server.Weights.Value) +
-          " wanted=" + (Wanted == nullptr ? "-" : logValue(Wanted->Set.Value)) +
-          " wanted_ms=" +
-          (Wanted == nullptr || !Wanted->PublishedAfter
-               ? "-"
-               : ageOf(*Wanted->PublishedAfter, Now)) +
-          " agent=" + (hasAgent(Server) ? "yes" : "no") +
-          " rate=" + rateText(Server.Rate) + " rate_ms=" +
-          (Server.Rate.PerSecond ? ageOf(Server.Rate.NamedAt, Now) : "-"));
+  logLine(LogPart::Requests, LogLevel::Info,
+          "event=attempt id=" + logValue(Id) +
+              " n=" + std::to_string(AttemptsSent + 1) + " server=" +
+              Server.Listed.Id.Value + " at=" + Server.Listed.At.Value +
+              " open=" + std::to_string(Server.Open) +
+              " others=" + std::to_string(Server.OtherWork) +
+              " told_ms=" + millisSince(Server.ToldAt, Now) + " left_ms=" +
+              std::to_string(toMillis(RequestDeadline - Now).count()) +
+              " caller_age_ms=" + std::to_string(toMillis(CallerAge).count()) +
+              " candidates=" + std::to_string(Choice.Candidates) +
+              " weights=" + logValue(Server.Weights.Value) + " wanted=" +
+              (Wanted == nullptr ? "-" : logValue(Wanted->Set.Value)) +
+              " wanted_ms=" +
+              (Wanted == nullptr || !Wanted->PublishedAfter
+                   ? "-"
+                   : millisSince(*Wanted->PublishedAfter, Now)) +
+              " agent=" + (hasAgent(Server) ? "yes" : "no") +
+              " rate=" + rateText(Server.Rate) + " rate_ms=" +
+              (Server.Rate.PerSecond ? millisSince(Server.Rate.NamedAt, Now)
+                                     : "-"));
 }
 
-void Exchange::logRate(RateChange Change, std::string_view Came) const {
+/** Logs and counts a change of a back end's rate limit. */
+void Exchange::logRateChange(RateChange Change, std::string_view Header) const {
   if (Change == RateChange::None)
     return;
   Shared.Counters.add(ForwardCount::RateChanges);
-  const auto it = Shared.Pool.Servers.find(At);
+  const auto it = Shared.Pool.Servers.find(ServerId);
   logLine(
       LogPart::Requests, LogLevel::Info,
-      "event=rate_limit id=" + logValue(Id) + " server=" + At.Value +
+      "event=rate_limit id=" + logValue(Id) + " server=" + ServerId.Value +
           " per_second=" +
           (it == Shared.Pool.Servers.end() ? "-" : rateText(it->second.Rate)) +
-          " field=" + logValue(Came));
+          " field=" + logValue(Header));
 }
 
+/** Logs an attempt that got no usable response. */
 void Exchange::logAttemptEnd(AttemptEnd How, Duration Took) const {
   const TimePoint Now = Shared.Clock.now();
-  const auto Still = standsStillFrom(Shared.Pool, At);
+  const auto UnresponsiveFrom = standsStillFrom(Shared.Pool, ServerId);
   logLine(
       LogPart::Requests, LogLevel::Info,
-      "event=attempt_end id=" + logValue(Id) + " n=" + std::to_string(Sent) +
-          " server=" + At.Value + " outcome=" +
-          std::string(AttemptEndNames.at(static_cast<size_t>(How))) +
+      "event=attempt_end id=" + logValue(Id) +
+          " n=" + std::to_string(AttemptsSent) + " server=" + ServerId.Value +
+          " outcome=" +
+          std::string(AttemptEndWords.at(static_cast<size_t>(How))) +
           " status=" +
           std::to_string(Mode == AnswerMode::Waiting ? 0 : Head.result_int()) +
           " ms=" + std::to_string(toMillis(Took).count()) +
-          " heard_ms=" + ageOf(lastHeard(Shared.Pool, At), Now) +
-          " unanswered_ms=" + (Still ? ageOf(*Still, Now) : std::string("-")) +
-          " events_until=" + lastEvent(Events));
+          " heard_ms=" + millisSince(lastHeard(Shared.Pool, ServerId), Now) +
+          " unanswered_ms=" +
+          (UnresponsiveFrom ? millisSince(*UnresponsiveFrom, Now)
+                            : std::string("-")) +
+          " events_until=" + lastEventText(Events));
 }
 
+/** Logs the end of the request and records its latencies. */
 void Exchange::logEnd(const char *Outcome, unsigned Status,
                       const char *Reason) {
   const TimePoint Now = Shared.Clock.now();
@@ -108,23 +117,24 @@
   };
   logLine(
       LogPart::Requests, LogLevel::Info,
-      "event=end id=" + logValue(Id) + " outcome=" + Outcome +
-          " status=" + std::to_string(Status) + " reason=" + Reason +
-          " route=" + (From == nullptr ? "-" : logValue(From->Name)) +
+      "event=end id=" + logValue(Id) + " outcome=" + Outcome + " status=" +
+          std::to_string(Status) + " reason=" + Reason + " route=" +
+          (RequestRoute == nullptr ? "-" : logValue(RequestRoute->Name)) +
           " tenant=" + (Owner == nullptr ? "-" : logValue(Owner->Name.Value)) +
-          " attempts=" + std::to_string(Sent) +
-          " servers=" + (Places.empty() ? "-" : Places) +
-          " ms=" + Since(Arrived) + " first_ms=" +
-          (FirstByte ? std::to_string(toMillis(*FirstByte - Arrived).count())
-                     : "-") +
-          " events_until=" + lastEvent(Events) +
+          " attempts=" + std::to_string(AttemptsSent) +
+          " servers=" + (TriedServers.empty() ? "-" : TriedServers) +
+          " ms=" + Since(ArrivalTime) + " first_ms=" +
+          (FirstByteTime
+               ? std::to_string(toMillis(*FirstByteTime - ArrivalTime).count())
+               : "-") +
+          " events_until=" + lastEventText(Events) +
           " version=" + (Doc ? std::to_string(Doc->Version.Value) : "0") +
           " age_ms=" + Since(Shared.DocSince));
-  if (From != nullptr && FirstByte) {
+  if (RequestRoute != nullptr && FirstByteTime) {
     Shared.Timings.observeService(Timing::FirstToken, Needs.Service.Value,
-                                  *FirstByte - Arrived);
+                                  *FirstByteTime - ArrivalTime);
     Shared.Timings.observeService(Timing::Whole, Needs.Service.Value,
-                                  Now - Arrived);
+                                  Now - ArrivalTime);
   }
 }
 
--- a/packages/entry/src/forward/exchange_place.cpp
+++ b/packages/entry/src/forward/exchange_place.cpp
@@ -1,4 +1,5 @@
-/** @file exchange_place.cpp How a request gets a place at its back end. */
+/** @file exchange_place.cpp Requesting a slot for a request from the agent of
+ * its back end. */
 
 #include "forward/exchange.h"
 #include "forward/header_fields.h"
@@ -12,116 +13,127 @@
 
 namespace {
 
-/** Part of the target that is kept for the way of answer and request. */
-constexpr Millis AnswerMargin{20};
-/** Part of the target in which an agent answers, beyond a wait that it was
- * allowed; another one can be asked in what is left. */
-constexpr int AgentAnswerPart = 8;
-/** Bounds of that time: many times the way between regions, and long enough for
- * one packet that is sent again. */
-constexpr Millis LeastAnswerTime{25};
-constexpr Millis MostAnswerTime{150};
+/** Part of the latency target that is reserved for network latency. */
+constexpr Millis NetworkMargin{20};
+/** Fraction (1/N) of the latency target in which an agent must answer, beyond
+ * the wait that it was allowed; the rest leaves time to ask another agent. */
+constexpr int AgentAnswerFraction = 8;
+/** Bounds of that time: many times the latency between regions, and long enough
+ * to retransmit one packet. */
+constexpr Millis MinAgentAnswerTime{25};
+constexpr Millis MaxAgentAnswerTime{150};
 
 } // namespace
 
-/** Time in which the first part of the answer has to leave its back end. */
-Millis Exchange::firstPartWithin(TimePoint Now) const {
-  const Duration Left = Arrived - Age + From->Target - Now - AnswerMargin;
+/** Time left for the back end to send the first part of the response; 0 if the
+ * latency target is missed already. */
+Millis Exchange::firstPartTimeLeft(TimePoint Now) const {
+  const Duration Left =
+      ArrivalTime - CallerAge + RequestRoute->Target - Now - NetworkMargin;
   return toMillis(std::max(Left, Duration{0}));
 }
 
-void Exchange::askPlace(const ServerView &Server) {
+/** Asks the agent of a back end for a slot there. */
+void Exchange::requestSlot(const ServerView &Server) {
   const TimePoint Now = Shared.Clock.now();
   PlaceAsk Ask;
-  Ask.Place.Value = Shared.PlacePrefix + std::to_string(Shared.NextPlace++);
+  Ask.Place.Value =
+      Shared.SlotIdPrefix + std::to_string(Shared.NextSlotNumber++);
   Ask.Request.Value = logValue(Id);
   Ask.Tenant = Owner == nullptr ? TenantName{} : Owner->Name;
-  // A stream that broke off is waited for by its caller.
+  // A stream to resume goes first: its caller has a part of it already.
   Ask.Rank = HeadSent ? 0 : rank();
-  Millis Wait = HeadSent ? From->GapTarget : firstPartWithin(Now);
+  Millis Wait = HeadSent ? RequestRoute->GapTarget : firstPartTimeLeft(Now);
   if (!HeadSent)
     Ask.FirstPartMillis = static_cast<uint64_t>(Wait.count());
-  if (!HeadSent && Wait.count() == 0) { // Late, whatever place is given.
+  if (!HeadSent && Wait.count() == 0) { // The target is missed in any case.
     Ask.Spare = true;
-    Wait = lateWait(neededBy() - Now);
-    takeBusyOnes(Search, Needs); // It need not begin at once.
+    Wait = lateWait(nextPartDeadline() - Now);
+    takeBusyOnes(Search, Needs); // It need not start at once.
   }
   Ask.WaitMillis = static_cast<uint64_t>(Wait.count());
-  Ask.PromptTokens =
-      Shared.Wire.promptTokens(fieldOf(Asked, Shared.Wire.names().TokenCounts));
+  Ask.PromptTokens = Shared.Wire.promptTokens(
+      fieldValue(Incoming, Shared.Wire.names().TokenCounts));
   const Millis MostReading = mostReading(Search);
   Ask.MostReadingMillis = static_cast<uint32_t>(MostReading.count());
   placeAsked(Search);
-  AskUntil = Now + std::clamp(From->Target / AgentAnswerPart, LeastAnswerTime,
-                              MostAnswerTime);
+  SlotAnswerDeadline =
+      Now + std::clamp(RequestRoute->Target / AgentAnswerFraction,
+                       MinAgentAnswerTime, MaxAgentAnswerTime);
   if (MostReading.count() == 0)
-    AskUntil += Wait; // It may wait there.
-  PlaceId = Ask.Place;
-  PlaceLink = Server.Agent->Link;
-  Asking = true;
-  Shared.Waiting[PlaceId] = weak_from_this();
-  if (const auto Told = rateToTell(Server, Now))
-    Shared.SendToAgent(PlaceLink, *Told);
-  Shared.SendToAgent(PlaceLink, Ask);
-  const bool First = hostAsked(Shared.Pool, At, Now);
+    SlotAnswerDeadline += Wait; // It may wait in the agent's queue.
+  SlotId = Ask.Place;
+  SlotAgentLink = Server.Agent->Link;
+  AwaitingSlot = true;
+  Shared.SlotWaiters[SlotId] = weak_from_this();
+  if (const auto Notice = rateToTell(Server, Now))
+    Shared.SendToAgent(SlotAgentLink, *Notice);
+  Shared.SendToAgent(SlotAgentLink, Ask);
+  const bool First = hostAsked(Shared.Pool, ServerId, Now);
   if (First && (Ask.Spare || MostReading.count() == 0))
-    Shared.SendToAgent(PlaceLink, Ping{}); // The place may take a while.
+    Shared.SendToAgent(SlotAgentLink, Ping{}); // The slot may take a while.
   armTimer();
 }
 
-void Exchange::placeAnswered(const PlaceAnswer &Answer) {
+/** Sends the request if the agent granted the slot and the back end may still
+ * be used, else tries another back end. */
+void Exchange::handleSlotAnswer(const PlaceAnswer &Answer) {
   const auto Self = shared_from_this();
   const TimePoint Now = Shared.Clock.now();
-  if (!Session || !Asking || Answer.Place != PlaceId)
+  if (!Session || !AwaitingSlot || Answer.Place != SlotId)
     return;
-  Asking = false;
-  loadTold(Shared.Pool, At, Answer.Load.Busy, Now);
-  readingTold(Shared.Pool, At, Millis(Answer.ReadingMillis));
-  if (Answer.Given && mayStillUse(Shared.Pool, At, Needs, Now)) {
-    sendTo(Shared.Pool.Servers.at(At));
+  AwaitingSlot = false;
+  loadTold(Shared.Pool, ServerId, Answer.Load.Busy, Now);
+  readingTold(Shared.Pool, ServerId, Millis(Answer.ReadingMillis));
+  if (Answer.Given && mayStillUse(Shared.Pool, ServerId, Needs, Now)) {
+    sendTo(Shared.Pool.Servers.at(ServerId));
     return;
   }
   if (!Answer.Given) {
-    PlaceId = {}; // The agent has forgotten it.
+    SlotId = {}; // The agent keeps no record of a refused slot.
     const Millis Room(static_cast<int64_t>(Answer.RetryAfterMillis));
     if (Answer.Why == ErrorKind::RateLimited) {
       Shared.Counters.add(ForwardCount::RateRefused);
-      rateRefused(Shared.Pool, At, Room, Now);
+      rateRefused(Shared.Pool, ServerId, Room, Now);
     } else if (Room.count() > 0) {
-      RoomIn = RoomIn.count() == 0 ? Room : std::min(RoomIn, Room);
+      ShortestRetryAfter = ShortestRetryAfter.count() == 0
+                               ? Room
+                               : std::min(ShortestRetryAfter, Room);
     }
   }
-  askElsewhere(Answer.Why == ErrorKind::Overloaded);
+  tryOtherServer(Answer.Why == ErrorKind::Overloaded);
 }
 
-void Exchange::agentDidNotAnswer() {
-  agentSilent(Shared.Pool, At, Shared.Clock.now());
-  askElsewhere(false);
+/** Tries another back end, since the agent did not answer in time. */
+void Exchange::handleSlotTimeout() {
+  agentSilent(Shared.Pool, ServerId, Shared.Clock.now());
+  tryOtherServer(false);
 }
 
-/** Gives up the place at this back end and looks for another one. */
-void Exchange::askElsewhere(bool OnlyBusy) {
-  placeOver(AttemptEnd::Dropped);
-  attemptClosed(Shared.Pool, At, AttemptEnd::NotSent, {}, Shared.Clock.now());
-  placeRefused(Search, Needs, At, OnlyBusy);
-  tryNext();
+/** Gives up the slot at this back end and tries another back end. */
+void Exchange::tryOtherServer(bool OnlyBusy) {
+  releaseSlot(AttemptEnd::Dropped);
+  attemptClosed(Shared.Pool, ServerId, AttemptEnd::NotSent, {},
+                Shared.Clock.now());
+  placeRefused(Search, Needs, ServerId, OnlyBusy);
+  tryNextServer();
 }
 
-/** Gives a place back. */
-void Exchange::placeOver(AttemptEnd How) {
-  Asking = false;
-  if (PlaceId.Value.empty())
+/** Releases the slot, or withdraws the request for it. */
+void Exchange::releaseSlot(AttemptEnd How) {
+  AwaitingSlot = false;
+  if (SlotId.Value.empty())
     return;
-  Shared.Waiting.erase(PlaceId);
+  Shared.SlotWaiters.erase(SlotId);
   PlaceDone Done;
-  Done.Place = PlaceId;
+  Done.Place = SlotId;
   Done.Whole = How == AttemptEnd::Answered;
-  Done.Sent = Call != nullptr && Call->sent();
-  if (FirstByte && *FirstByte >= CallBegan)
+  Done.Sent = Call != nullptr && Call->hasSent();
+  if (FirstByteTime && *FirstByteTime >= CallStartTime)
     Done.FirstPartMillis =
-        static_cast<uint64_t>(toMillis(*FirstByte - CallBegan).count());
-  Shared.SendToAgent(PlaceLink, Done);
-  PlaceId = {};
+        static_cast<uint64_t>(toMillis(*FirstByteTime - CallStartTime).count());
+  Shared.SendToAgent(SlotAgentLink, Done);
+  SlotId = {};
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/exchange_silence.cpp
+++ b/packages/entry/src/forward/exchange_silence.cpp
@@ -1,6 +1,6 @@
-/** @file exchange_silence.cpp What is done while nothing comes: how long an
- * answer is waited for, whether the host of the back end runs, and until when
- * the caller has to hear something.
+/** @file exchange_silence.cpp Timeouts of a request: how long to wait for a
+ * silent back end, whether its host is responsive, and by when the caller must
+ * get something.
  */
 
 #include "forward/exchange.h"
@@ -15,154 +15,172 @@
 namespace {
 
 /**
- * Silence, in targets of the route, after which a request that may be repeated
- * goes elsewhere. The shorter one is for a back end of which nothing at all is
- * heard, the longer one for one that answers others: it is only slow.
+ * Silence before the first part of a response, in latency targets of the route,
+ * after which a repeatable request is tried at another back end. The shorter
+ * limit applies to a back end that sends nothing at all, the longer one to a
+ * slow one, which still answers other requests.
  */
-constexpr double SilentTargets = 2.0;
+constexpr double UnresponsiveTargets = 2.0;
 constexpr double SlowTargets = 4.5;
-/** The same between two events, in wanted gaps. */
-constexpr double SilentGaps = 3.0;
+/** The same between two events of a stream, in target gaps of the route. */
+constexpr double UnresponsiveGaps = 3.0;
 constexpr double SlowGaps = 6.0;
-/** Time between two looks at a back end that is silent for long. */
-constexpr Millis SoonestLook{20};
-constexpr Millis LookAgain{50};
-/** Delay of a timer by which this process got no processor. */
-constexpr Millis OwnStall{100};
+/** Minimum delay before a back end that stays silent is checked again. */
+constexpr Millis MinCheckDelay{20};
+/** Period of these checks while an agent that can be pinged holds the slot. */
+constexpr Millis SlotCheckPeriod{50};
+/** Timer delay beyond which this process counts as having been stalled. */
+constexpr Millis ProcessStallThreshold{100};
 
 } // namespace
 
+/** Sets the timer to the next time at which anything may be due. */
 void Exchange::armTimer() {
   const TimePoint Now = Shared.Clock.now();
-  TimePoint Next = neededBy();
-  if (HeldForView)
+  TimePoint Next = nextPartDeadline();
+  if (WaitingForReadiness)
     Next = std::min(Next, Shared.Fleet.ReadyBy);
-  if (Asking)
-    Next = std::min(Next, AskUntil);
-  if (Call && canRepeat())
-    Next = std::min(Next, nextLook(Now));
-  const auto Still = standsStillFrom(Shared.Pool, At);
-  if ((Asking || Call) && Still && *Still > Now)
-    Next = std::min(Next, *Still);
-  if (const auto Begin = beginLimit())
-    Next = std::min(Next, std::max(*Begin, Now));
-  LookAt = std::min(Next, std::max(neededBy(), Now));
-  Timer.expires_after(LookAt - Now);
+  if (AwaitingSlot)
+    Next = std::min(Next, SlotAnswerDeadline);
+  if (Call && isRepeatable())
+    Next = std::min(Next, nextCheckTime(Now));
+  const auto UnresponsiveFrom = standsStillFrom(Shared.Pool, ServerId);
+  if ((AwaitingSlot || Call) && UnresponsiveFrom && *UnresponsiveFrom > Now)
+    Next = std::min(Next, *UnresponsiveFrom);
+  if (const auto StartDeadline = attemptStartDeadline())
+    Next = std::min(Next, std::max(*StartDeadline, Now));
+  TimerDue = std::min(Next, std::max(nextPartDeadline(), Now));
+  Timer.expires_after(TimerDue - Now);
   Timer.async_wait(
       [Self = shared_from_this()](const boost::system::error_code &ec) {
         if (!ec && Self->Session)
-          Self->timeCame();
+          Self->handleTimer();
       });
 }
 
-/** Gives when to look next whether an answer still comes. */
-TimePoint Exchange::nextLook(TimePoint Now) const {
-  const Duration Silent = patience(false);
-  // Later looks follow at the same distance until the slow limit is over.
+/** Time of the next check whether the response still makes progress. */
+TimePoint Exchange::nextCheckTime(TimePoint Now) const {
+  const Duration Silent = silenceLimit(false);
+  // Further checks follow at a quarter of that time, up to the slow limit.
   TimePoint Next = std::max(LastProgress + Silent, Now + Silent / 4);
-  if (!PlaceId.Value.empty()) // Its agent can be asked.
-    Next = std::min(
-        Next, std::max(LastProgress + quietBeforeQuestion(), Now + LookAgain));
-  return std::max(Next, Now + SoonestLook);
+  if (!SlotId.Value.empty()) // Its agent can be pinged.
+    Next = std::min(Next, std::max(LastProgress + silenceBeforePing(),
+                                   Now + SlotCheckPeriod));
+  return std::max(Next, Now + MinCheckDelay);
 }
 
-/** Gives the silence after which the host is asked for a sign of life. */
-Duration Exchange::quietBeforeQuestion() const {
-  if (HeadSent && From->GapTarget.count() > 0)
-    return From->GapTarget;
+/** Silence after which the host of the back end is pinged. */
+Duration Exchange::silenceBeforePing() const {
+  if (HeadSent && RequestRoute->GapTarget.count() > 0)
+    return RequestRoute->GapTarget;
   return std::min<Duration>(
-      From->Target, usualFirstPart(Shared.Pool, Needs.Service, From->Target));
+      RequestRoute->Target,
+      usualFirstPart(Shared.Pool, Needs.Service, RequestRoute->Target));
 }
 
-/** Asks a host whose back end has been silent whether it runs. */
-void Exchange::askForSign(TimePoint Now) {
-  const bool Quiet = Now - LastProgress >= quietBeforeQuestion();
-  if (Quiet && !PlaceId.Value.empty() && hostAsked(Shared.Pool, At, Now))
-    Shared.SendToAgent(PlaceLink, Ping{});
+/** Pings the host of a back end that has been silent for a while. */
+void Exchange::pingSilentHost(TimePoint Now) {
+  const bool Quiet = Now - LastProgress >= silenceBeforePing();
+  if (Quiet && !SlotId.Value.empty() && hostAsked(Shared.Pool, ServerId, Now))
+    Shared.SendToAgent(SlotAgentLink, Ping{});
 }
 
-/** Answers may lie here unread when this process got no processor. */
-void Exchange::noteOwnStall(TimePoint Now) {
-  if (Now - LookAt > OwnStall)
-    forgetQuestion(Shared.Pool, At);
+/** Discards a pending ping after this process was stalled: the host's reply may
+ * have arrived without being read. */
+void Exchange::discardProbeAfterStall(TimePoint Now) {
+  if (Now - TimerDue > ProcessStallThreshold)
+    forgetQuestion(Shared.Pool, ServerId);
 }
 
-bool Exchange::hostStandsStill(TimePoint Now) const {
-  const auto Still = standsStillFrom(Shared.Pool, At);
-  return Still && Now >= *Still;
+/** Says whether the host of the current back end left a ping unanswered for too
+ * long. */
+bool Exchange::isServerHostUnresponsive(TimePoint Now) const {
+  const auto UnresponsiveFrom = standsStillFrom(Shared.Pool, ServerId);
+  return UnresponsiveFrom && Now >= *UnresponsiveFrom;
 }
 
-void Exchange::timeCame() {
+/** Handles whatever is due: a deadline, a slot that took too long or a silent
+ * back end. */
+void Exchange::handleTimer() {
   const TimePoint Now = Shared.Clock.now();
-  noteOwnStall(Now);
-  if (HeldForView) { // It did not come in time: refused.
-    viewCame();
+  discardProbeAfterStall(Now);
+  if (WaitingForReadiness) { // Not ready in time: the request is refused.
+    handleEntryReady();
     return;
   }
-  if (Now >= neededBy()) {
-    limitCame();
+  if (Now >= nextPartDeadline()) {
+    handleDeadline();
     return;
   }
-  const auto Begin = beginLimit();
-  const bool TooLate = Begin && Now >= *Begin;
-  if (Asking && (Now >= AskUntil || hostStandsStill(Now)))
-    agentDidNotAnswer();
-  else if (TooLate ||
-           (Call && canRepeat() && silentTooLong(Now) && couldGoElsewhere(Now)))
-    answerBroke();
-  else if (Call && canRepeat())
-    askForSign(Now);
+  const auto StartDeadline = attemptStartDeadline();
+  const bool TooLate = StartDeadline && Now >= *StartDeadline;
+  if (AwaitingSlot &&
+      (Now >= SlotAnswerDeadline || isServerHostUnresponsive(Now)))
+    handleSlotTimeout();
+  else if (TooLate || (Call && isRepeatable() && isSilentTooLong(Now) &&
+                       canUseOtherServer(Now)))
+    abandonAnswer();
+  else if (Call && isRepeatable())
+    pingSilentHost(Now);
   if (Session)
     armTimer();
 }
 
-/** Gives until when the caller has to hear something. */
-TimePoint Exchange::neededBy() const {
-  return From == nullptr ? Limit : answerNeededBy(*From, Limit, LastGiven);
+/** Time by which the caller must be sent the next part of the response. */
+TimePoint Exchange::nextPartDeadline() const {
+  return RequestRoute == nullptr
+             ? RequestDeadline
+             : answerNeededBy(*RequestRoute, RequestDeadline, LastSentToCaller);
 }
 
 /**
- * Gives until when the back end may begin; nothing: there is no such time. One
- * that stands still has the request in its sockets, and on waking begins it on
- * the weights that it had, however long ago they were replaced. A connection
- * that is closed by then shows it that nobody waits. Only a stream says that it
- * has begun before it has ended.
+ * Time until which the back end may start the request; nothing: no limit. An
+ * unresponsive host has the request in its sockets, and starts it when it
+ * resumes, on weights that may have been replaced long ago. Closing the
+ * connection by then tells it that nobody waits. Only for streams: other
+ * responses don't show that the request started until they are complete.
  */
-std::optional<TimePoint> Exchange::beginLimit() const {
-  if (!Call || Mode != AnswerMode::Waiting || From->Kind != RouteKind::Stream)
+std::optional<TimePoint> Exchange::attemptStartDeadline() const {
+  if (!Call || Mode != AnswerMode::Waiting ||
+      RequestRoute->Kind != RouteKind::Stream)
     return std::nullopt;
-  return mayBeginUntil(Shared.Pool, At, SentOn);
+  return mayBeginUntil(Shared.Pool, ServerId, WeightsWhenSent);
 }
 
 /**
- * Gives how long a back end may be silent, before the first part of an answer
- * or between two of them; 0 where the route names no target.
+ * Longest silence of a back end, before the first part of a response or between
+ * two events; 0 if the route has no target.
+ * @param Alive Whether the back end answers other requests.
  */
-Duration Exchange::patience(bool Alive) const {
-  const double Targets = Alive ? SlowTargets : SilentTargets;
-  const double Gaps = Alive ? SlowGaps : SilentGaps;
+Duration Exchange::silenceLimit(bool Alive) const {
+  const double Targets = Alive ? SlowTargets : UnresponsiveTargets;
+  const double Gaps = Alive ? SlowGaps : UnresponsiveGaps;
   return std::chrono::duration_cast<Duration>(
-      HeadSent ? From->GapTarget * Gaps : From->Target * Targets);
+      HeadSent ? RequestRoute->GapTarget * Gaps
+               : RequestRoute->Target * Targets);
 }
 
-/** Says whether a back end has been silent for longer than it may be. */
-bool Exchange::silentTooLong(TimePoint Now) const {
-  if (!attemptsLeft())
+/** Says whether the back end has been silent for so long that the request
+ * should be tried at another one. */
+bool Exchange::isSilentTooLong(TimePoint Now) const {
+  if (!hasAttemptsLeft())
     return false;
   const Duration Quiet = Now - LastProgress;
-  if (hostStandsStill(Now) && Quiet >= quietBeforeQuestion())
+  if (isServerHostUnresponsive(Now) && Quiet >= silenceBeforePing())
     return true;
   const Duration ServerQuiet =
-      Now - std::max(LastProgress, lastHeard(Shared.Pool, At));
-  return patience(false).count() > 0 &&
-         (ServerQuiet >= patience(false) || Quiet >= patience(true));
+      Now - std::max(LastProgress, lastHeard(Shared.Pool, ServerId));
+  return silenceLimit(false).count() > 0 &&
+         (ServerQuiet >= silenceLimit(false) || Quiet >= silenceLimit(true));
 }
 
-void Exchange::limitCame() {
-  if (MayHaveRun || Sent > 0)
-    endWith({ErrorKind::Deadline, "time is up", {}}, Ran::Unknown, "time_up");
+/** Ends the request because its time is up. */
+void Exchange::handleDeadline() {
+  if (MayHaveRun || AttemptsSent > 0)
+    endWithError({ErrorKind::Deadline, "time is up", {}}, Ran::Unknown,
+                 "time_up");
   else
-    endWith({ErrorKind::Overloaded, "time is up", {}}, Ran::No, "time_up");
+    endWithError({ErrorKind::Overloaded, "time is up", {}}, Ran::No, "time_up");
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/forward_context.h
+++ b/packages/entry/src/forward/forward_context.h
@@ -1,4 +1,4 @@
-/** @file forward_context.h What all requests on routes share. */
+/** @file forward_context.h State shared by all requests on routes. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_FORWARD_CONTEXT_H
 #define JACINTHPOND_ENTRY_FORWARD_FORWARD_CONTEXT_H
@@ -27,54 +27,61 @@
 
 namespace jacinthpond {
 
-/** A request that waits for an agent's answer. */
-class PlaceWaiter {
+/** A request that waits for an agent to grant a slot. */
+class SlotWaiter {
 public:
-  virtual ~PlaceWaiter() = default;
+  virtual ~SlotWaiter() = default;
   /**
-   * The agent answered.
-   * @param Answer What it said.
+   * Handles the agent's answer.
+   * @param Answer The answer.
    */
-  virtual void placeAnswered(const PlaceAnswer &Answer) = 0;
+  virtual void handleSlotAnswer(const PlaceAnswer &Answer) = 0;
 };
 
-/** A request that waits until this entry may pass requests on. */
-class ViewWaiter {
+/** A request that waits until this entry may forward requests. */
+class ReadinessWaiter {
 public:
-  virtual ~ViewWaiter() = default;
-  /** The entry is ready. */
-  virtual void viewCame() = 0;
+  virtual ~ReadinessWaiter() = default;
+  /** Handles the event that the entry is ready. */
+  virtual void handleEntryReady() = 0;
 };
 
-/** State of the traffic thread; nothing else touches it while it runs. */
+/** State of the traffic thread. While that runs, other threads may only use the
+ * atomic members and the counters. */
 struct ForwardContext {
-  boost::asio::io_context Io{1};    ///< Runs on the traffic thread.
-  RuntimeClock Clock;               ///< The runtime's clock.
-  const WirePort &Wire;             ///< How callers and back ends speak.
-  BackEndConnections Connections;   ///< Kept connections to back ends.
-  ServerPool Pool;                  ///< Back ends.
-  RepeatBudget Repeats;             ///< Requests sent once more.
-  CallerHabits Callers;             ///< Deadlines that they begin with.
-  DocumentPtr Doc;                  ///< Document in force.
-  TimePoint DocSince;               ///< When it came into force here.
-  RouteIndex Index;                 ///< Look-ups into it.
+  boost::asio::io_context Io{1};     ///< Event loop of the traffic thread.
+  RuntimeClock Clock;                ///< Current time.
+  const WirePort &Wire;              ///< Headers of callers and back ends.
+  BackEndConnectionPool Connections; ///< Idle connections to back ends.
+  ServerPool Pool;                   ///< Known back ends.
+  RepeatBudget Repeats;              ///< Budget for retries.
+  CallerHabits CallerDeadlines;      ///< Usual initial deadlines.
+  DocumentPtr Doc;                   ///< Document in force.
+  TimePoint DocSince;                ///< When Doc came into force here.
+  RouteIndex Index;                  ///< Look-up tables of Doc.
   FleetSnapshot Fleet;              ///< Entries, and whether this one is ready.
-  std::atomic<bool> Leaving{false}; ///< The process is to end.
-  std::atomic<bool> Refusing{false}; ///< No new request is taken any more.
-  std::atomic<uint32_t> Open{0};     ///< Requests without a final answer.
-  ForwardCounters Counters;          ///< What happened so far.
+  std::atomic<bool> Leaving{false}; ///< The process is shutting down.
+  std::atomic<bool> RefusingNew{false};  ///< New requests are refused.
+  std::atomic<uint32_t> OpenRequests{0}; ///< Requests without a final response.
+  ForwardCounters Counters;              ///< Counters of events.
   std::function<void(LinkId, const Message &)>
-      SendToAgent; ///< From any thread.
+      SendToAgent; ///< Callable from any thread.
   std::function<void(const Message &)>
-      SendToEntries;       ///< To all others, from any thread.
-  std::string PlacePrefix; ///< Makes places unique for ever.
-  uint64_t NextPlace = 1;  ///< Rest of the next place's name.
-  std::map<AttemptId, std::weak_ptr<PlaceWaiter>> Waiting; ///< By place.
-  std::vector<std::weak_ptr<ViewWaiter>> Held; ///< Came before the view.
-  TrafficMetrics &Timings;                     ///< Histograms.
+      SendToEntries;           ///< To all others; callable from any thread.
+  std::string SlotIdPrefix;    ///< Makes slot ids globally unique.
+  uint64_t NextSlotNumber = 1; ///< Suffix of the next slot id.
+  std::map<AttemptId, std::weak_ptr<SlotWaiter>> SlotWaiters; ///< By slot id.
+  std::vector<std::weak_ptr<ReadinessWaiter>>
+      ReadinessWaiters;    ///< Arrived too early.
+  TrafficMetrics &Timings; ///< Latency histograms.
 
-  ForwardContext(const WirePort &Spoken, TrafficMetrics &Into)
-      : Wire(Spoken), Timings(Into) {}
+  /**
+   * Creates the state without a document.
+   * @param Protocol Headers of callers and back ends; must outlive this.
+   * @param Metrics Latency histograms; must outlive this.
+   */
+  ForwardContext(const WirePort &Protocol, TrafficMetrics &Metrics)
+      : Wire(Protocol), Timings(Metrics) {}
 };
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/forward_counters.h
+++ b/packages/entry/src/forward/forward_counters.h
@@ -1,4 +1,4 @@
-/** @file forward_counters.h What happened to requests on routes. */
+/** @file forward_counters.h Event counters for requests on routes. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_FORWARD_COUNTERS_H
 #define JACINTHPOND_ENTRY_FORWARD_FORWARD_COUNTERS_H
@@ -12,30 +12,31 @@
 
 /** Counters of the traffic thread. */
 enum class ForwardCount : uint8_t {
-  Requests,    ///< Requests taken.
-  Answered,    ///< Answers of back ends given to callers whole.
-  Refused,     ///< Refused, not run.
-  Failed,      ///< Ended without a whole answer after they may have run.
-  CallersGone, ///< Callers that left before their answer.
-  Repeats,     ///< Attempts after the first of a request.
-  Resumes,     ///< Streams that went on at another back end.
-  Unreached,   ///< Back ends that could not be connected to.
-  Broken,      ///< Answers that broke off or could not be read.
-  NotExecuted, ///< Refusals by back ends.
-  Misjudged,   ///< Back ends that were not the run, or version, expected.
-  StoodStill,  ///< Attempts given up since their host gave no sign of life.
-  RateChanges, ///< Rate limits of back ends that were set or lifted.
-  RateRefused, ///< Asks that an agent refused for a rate of its back end.
-  Stalls,      ///< Times at which the traffic thread ran late.
-  Count        ///< Number of counters; not a counter.
+  Requests,         ///< Requests received.
+  Answered,         ///< Complete responses of back ends sent to callers.
+  Refused,          ///< Requests refused without being executed.
+  Failed,           ///< Requests that failed and may have been executed.
+  CallersGone,      ///< Callers that left before the end of the response.
+  Repeats,          ///< Retries: attempts after the first of a request.
+  Resumes,          ///< Retries that resume a stream at another back end.
+  Unreached,        ///< Failed connections to back ends.
+  Broken,           ///< Responses that broke off or were malformed.
+  NotExecuted,      ///< Attempts that a back end refused.
+  Mismatched,       ///< Back ends with another run or version than expected.
+  HostUnresponsive, ///< Attempts given up because of an unresponsive host.
+  RateChanges,      ///< Changes of back ends' rate limits.
+  RateRefused,      ///< Slots that an agent refused because of a rate limit.
+  Stalls,           ///< Long delays of the traffic thread.
+  Count             ///< Number of counters; not a counter.
 };
 
-/** Name and help of each counter, in enum order. */
+/** Metric of one counter. */
 struct ForwardCounterSpec {
   const char *Name; ///< Metric name.
-  const char *Help; ///< Text for the page.
+  const char *Help; ///< Help text on the metrics page.
 };
 
+/** Metric of each ForwardCount, in enum order. */
 constexpr std::array<ForwardCounterSpec,
                      static_cast<size_t>(ForwardCount::Count)>
     ForwardCounterTable = {{
@@ -68,12 +69,12 @@
          "Times at which the traffic thread ran late by 0.2 s or more."},
     }};
 
-/** Safe to read from any thread. */
+/** Values of all counters; may be used from any thread. */
 class ForwardCounters {
 public:
-  /** Counts one. @param What Which counter. */
+  /** Increments a counter. @param What Which counter. */
   void add(ForwardCount What) { ++Values.at(static_cast<size_t>(What)); }
-  /** Reads a counter. @param What Which. @return Its value. */
+  /** Reads a counter. @param What Which counter. @return Its value. */
   uint64_t get(ForwardCount What) const {
     return Values.at(static_cast<size_t>(What)).load();
   }
--- a/packages/entry/src/forward/forward_headers.cpp
+++ b/packages/entry/src/forward/forward_headers.cpp
@@ -1,4 +1,4 @@
-/** @file forward_headers.cpp Headers of requests and answers on their way. */
+/** @file forward_headers.cpp Headers of forwarded requests and responses. */
 
 #include "forward/forward_headers.h"
 
@@ -17,35 +17,38 @@
 
 namespace {
 
-/** Headers that concern one connection (RFC 9110, 7.6.1), and framing. */
-constexpr std::array<std::string_view, 11> HopHeaders = {"Connection",
-                                                         "Keep-Alive",
-                                                         "Proxy-Authenticate",
-                                                         "Proxy-Authorization",
-                                                         "Proxy-Connection",
-                                                         "TE",
-                                                         "Trailer",
-                                                         "Transfer-Encoding",
-                                                         "Upgrade",
-                                                         "Content-Length",
-                                                         "Expect"};
+/** Hop-by-hop headers (RFC 9110, 7.6.1), and framing headers. */
+constexpr std::array<std::string_view, 11> HopByHopHeaders = {
+    "Connection",
+    "Keep-Alive",
+    "Proxy-Authenticate",
+    "Proxy-Authorization",
+    "Proxy-Connection",
+    "TE",
+    "Trailer",
+    "Transfer-Encoding",
+    "Upgrade",
+    "Content-Length",
+    "Expect"};
 
-bool isHopHeader(boost::beast::string_view Name) {
-  return std::ranges::any_of(HopHeaders, [&](std::string_view One) {
+/** Says whether a header must not be forwarded. */
+bool isHopByHopHeader(boost::beast::string_view Name) {
+  return std::ranges::any_of(HopByHopHeaders, [&](std::string_view One) {
     return iequals(Name, boost::beast::string_view(One.data(), One.size()));
   });
 }
 
-/** Says whether a Connection header names a header as one of its own. */
-bool namedByConnection(const http::fields &From,
-                       boost::beast::string_view Name) {
+/** Says whether the Connection header lists a header as hop-by-hop. */
+bool isListedInConnection(const http::fields &From,
+                          boost::beast::string_view Name) {
   const http::token_list Listed(From[http::field::connection]);
   return std::any_of(Listed.begin(), Listed.end(),
                      [&](const auto &One) { return iequals(One, Name); });
 }
 
-/** Says whether the system sets a header itself, whatever the caller sent. */
-bool isOwnHeader(const HeaderNames &Names, boost::beast::string_view Name) {
+/** Says whether a caller's header is dropped because the entry sets it itself,
+ * or because it has the caller's key. */
+bool isSystemHeader(const HeaderNames &Names, boost::beast::string_view Name) {
   const std::array Own = {&Names.Remaining, &Names.ExpectedServer,
                           &Names.ExpectedVersion, &Names.Tenant, &Names.Rank};
   return iequals(Name, "Authorization") ||
@@ -55,44 +58,43 @@
 
 } // namespace
 
-std::string requestBytes(const CallerRequest &Asked, const HeaderNames &Names,
-                         const PassedOn &Passed) {
+std::string requestBytes(const CallerRequest &Request, const HeaderNames &Names,
+                         const AttemptHeaders &Added) {
   http::request<http::string_body> Sent;
   Sent.version(11);
-  Sent.method_string(Asked.method_string());
-  Sent.target(Asked.target());
-  for (const auto &Field : Asked.base()) {
+  Sent.method_string(Request.method_string());
+  Sent.target(Request.target());
+  for (const auto &Field : Request.base()) {
     const auto Name = Field.name_string();
-    const bool Replaced =
-        Passed.LastEventId && iequals(Name, Names.LastEventId);
-    if (!isHopHeader(Name) && !isOwnHeader(Names, Name) && !Replaced &&
-        !namedByConnection(Asked.base(), Name))
+    const bool Replaced = Added.LastEventId && iequals(Name, Names.LastEventId);
+    if (!isHopByHopHeader(Name) && !isSystemHeader(Names, Name) && !Replaced &&
+        !isListedInConnection(Request.base(), Name))
       Sent.insert(Field.name(), Name, Field.value());
   }
-  Sent.set(Names.Remaining, std::to_string(Passed.Remaining.count()));
-  Sent.set(Names.ExpectedServer, Passed.Server.Value);
-  if (!Passed.Version.empty())
-    Sent.set(Names.ExpectedVersion, Passed.Version);
-  if (!Passed.Tenant.empty())
-    Sent.set(Names.Tenant, Passed.Tenant);
-  if (Passed.LastEventId)
-    Sent.set(Names.LastEventId, std::to_string(*Passed.LastEventId));
-  Sent.set(Names.Rank, std::to_string(std::min(Passed.Rank, 9U)));
-  const bool HasBody = !Asked.body().empty() ||
-                       Asked.method() == http::verb::post ||
-                       Asked.method() == http::verb::put;
+  Sent.set(Names.Remaining, std::to_string(Added.Remaining.count()));
+  Sent.set(Names.ExpectedServer, Added.Server.Value);
+  if (!Added.Version.empty())
+    Sent.set(Names.ExpectedVersion, Added.Version);
+  if (!Added.Tenant.empty())
+    Sent.set(Names.Tenant, Added.Tenant);
+  if (Added.LastEventId)
+    Sent.set(Names.LastEventId, std::to_string(*Added.LastEventId));
+  Sent.set(Names.Rank, std::to_string(std::min(Added.Rank, 9U)));
+  const bool HasBody = !Request.body().empty() ||
+                       Request.method() == http::verb::post ||
+                       Request.method() == http::verb::put;
   if (HasBody)
-    Sent.content_length(Asked.body().size());
+    Sent.content_length(Request.body().size());
   std::ostringstream Text;
-  Sent.body() = Asked.body();
+  Sent.body() = Request.body();
   Text << Sent;
   return Text.str();
 }
 
 void copyAnswerHeaders(const ResponseHead &Head, http::fields &Into) {
   for (const auto &Field : Head)
-    if (!isHopHeader(Field.name_string()) &&
-        !namedByConnection(Head, Field.name_string()))
+    if (!isHopByHopHeader(Field.name_string()) &&
+        !isListedInConnection(Head, Field.name_string()))
       Into.insert(Field.name(), Field.name_string(), Field.value());
 }
 
--- a/packages/entry/src/forward/forward_headers.h
+++ b/packages/entry/src/forward/forward_headers.h
@@ -1,4 +1,4 @@
-/** @file forward_headers.h Headers of requests and answers on their way. */
+/** @file forward_headers.h Headers of forwarded requests and responses. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_FORWARD_HEADERS_H
 #define JACINTHPOND_ENTRY_FORWARD_FORWARD_HEADERS_H
@@ -12,31 +12,32 @@
 
 namespace jacinthpond {
 
-/** What the system says in a request to a back end. */
-struct PassedOn {
-  Millis Remaining{0};                 ///< Time left for the caller.
-  InstanceId Server;                   ///< Who may answer.
-  std::string Version;                 ///< Weights that may begin; empty: any.
-  std::string Tenant;                  ///< Whose request; empty: nobody's.
-  uint32_t Rank = 0;                   ///< Urgency; 0 is first.
-  std::optional<uint64_t> LastEventId; ///< Event after which to go on.
+/** Header values that the entry sets in a request to a back end. */
+struct AttemptHeaders {
+  Millis Remaining{0}; ///< Time until the caller's deadline.
+  InstanceId Server;   ///< Run of the back end that may answer.
+  std::string Version; ///< Required weights version; empty: any.
+  std::string Tenant;  ///< Workspace; empty: none.
+  uint32_t Rank = 0;   ///< Priority; 0 is first.
+  std::optional<uint64_t> LastEventId; ///< Event after which to resume.
 };
 
 /**
- * Writes the request for a back end: method, target, body and headers are the
- * caller's, except those of one connection, its key, and what the system sets.
- * @param Asked The caller's request.
+ * Serializes the request for a back end. Method, target, body and headers are
+ * the caller's, without hop-by-hop headers, the caller's key and any headers
+ * that the entry sets itself.
+ * @param Request The caller's request.
  * @param Names Names of headers.
- * @param Passed What the system says.
- * @return The request as bytes.
+ * @param Added Header values that the entry sets.
+ * @return The serialized request.
  */
-std::string requestBytes(const CallerRequest &Asked, const HeaderNames &Names,
-                         const PassedOn &Passed);
+std::string requestBytes(const CallerRequest &Request, const HeaderNames &Names,
+                         const AttemptHeaders &Added);
 
 /**
- * Copies the headers of an answer that a caller gets.
- * @param Head What the back end sent.
- * @param Into Headers of the answer to the caller.
+ * Copies the headers of a response, without hop-by-hop headers.
+ * @param Head Head of the back end's response.
+ * @param Into Headers of the response to the caller.
  */
 void copyAnswerHeaders(const ResponseHead &Head,
                        boost::beast::http::fields &Into);
--- a/packages/entry/src/forward/forwarder.cpp
+++ b/packages/entry/src/forward/forwarder.cpp
@@ -1,4 +1,4 @@
-/** @file forwarder.cpp Listeners and thread of requests on routes. */
+/** @file forwarder.cpp Listeners and traffic thread for requests on routes. */
 
 #include "forward/forwarder.h"
 
@@ -25,18 +25,19 @@
 
 namespace {
 
-/** Connections that the kernel accepts for us before we do. */
+/** Maximum connections that the kernel queues until they are accepted. */
 constexpr int ListenBacklog = 1024;
-/** Wait before accepting again when no descriptor is left. */
+/** Delay before accepting again after a failure, e.g. without descriptors. */
 constexpr Millis AcceptPause{50};
-/** Time between two looks for old idle connections. */
+/** Period of the checks for expired idle connections. */
 constexpr Millis SweepPeriod{1000};
-/** Time between two looks whether the thread runs in time, and the delay that
- * is worth a line. */
+/** Period of the checks for delays of the traffic thread, and the delay that is
+ * logged. */
 constexpr Millis StallPeriod{250};
 constexpr Millis LongStall{200};
 
-ErrorKind kindOf(unsigned Status) {
+/** Error kind for the HTTP status of a request that could not be parsed. */
+ErrorKind errorKindFor(unsigned Status) {
   if (Status == 408)
     return ErrorKind::SlowCaller;
   if (Status == 413)
@@ -44,11 +45,12 @@
   return ErrorKind::BadRequest;
 }
 
-CallerAnswer badRequest(unsigned Status) {
+/** Response to a request that could not be parsed. */
+CallerAnswer badRequestAnswer(unsigned Status) {
   CallerAnswer Out;
   Out.result(Status);
   Out.set(http::field::content_type, "application/json");
-  Out.body() = errorBody({kindOf(Status), "", {}}, Ran::No, {});
+  Out.body() = errorBody({errorKindFor(Status), "", {}}, Ran::No, {});
   return Out;
 }
 
@@ -60,13 +62,14 @@
       StallTimer(Shared.Io) {
   Shared.Pool.Options.Self.Value = Config.Name;
   Shared.Pool.Options.Domain.Value = Config.Domain;
-  takeOptions(Config);
+  applySettings(Config);
   Shared.Pool.Random ^= std::hash<std::string>{}(Config.Name) | 1U;
-  Shared.PlacePrefix =
+  Shared.SlotIdPrefix =
       Config.Name + "/" + std::to_string(randomIncarnation()) + "/";
 }
 
-void Forwarder::takeOptions(const Settings &From) {
+/** Takes over the settings that may change while the process runs. */
+void Forwarder::applySettings(const Settings &From) {
   Shared.Pool.Options.FormerWeightsFor = formerWeightsTime(From);
   Shared.Pool.Options.LapseGrace = Millis(From.LapseGraceMillis);
   Shared.Repeats.Limits = {From.RepeatRatio,
@@ -75,7 +78,7 @@
 }
 
 void Forwarder::reload(const Settings &Changed) {
-  boost::asio::post(Shared.Io, [this, Changed] { takeOptions(Changed); });
+  boost::asio::post(Shared.Io, [this, Changed] { applySettings(Changed); });
 }
 
 Forwarder::~Forwarder() {
@@ -84,17 +87,19 @@
     Traffic.join();
 }
 
-SessionRules Forwarder::rulesFor(
+/** Callbacks for the sessions of a listener that answers requests with
+ * OnRequest. */
+SessionCallbacks Forwarder::makeCallbacks(
     std::function<void(const std::shared_ptr<CallerSession> &, CallerRequest)>
         OnRequest) {
-  SessionRules Rules;
-  Rules.OnRequest = std::move(OnRequest);
-  Rules.OnBadRequest = badRequest;
-  Rules.Limits = [this] {
+  SessionCallbacks Callbacks;
+  Callbacks.OnRequest = std::move(OnRequest);
+  Callbacks.OnBadRequest = badRequestAnswer;
+  Callbacks.Limits = [this] {
     return Shared.Doc ? Shared.Doc->Limits : CallerLimits{};
   };
-  Rules.Leaving = [this] { return Shared.Leaving.load(); };
-  return Rules;
+  Callbacks.IsLeaving = [this] { return Shared.Leaving.load(); };
+  return Callbacks;
 }
 
 bool Forwarder::start() {
@@ -102,29 +107,30 @@
       joinedBy(Shared.Clock.now(), Millis(Config.JoinWaitMillis));
   const bool Listening =
       listen(Config.RouteListen,
-             rulesFor([this](const auto &Session, CallerRequest Asked) {
-               std::make_shared<Exchange>(Shared, Session, std::move(Asked))
+             makeCallbacks([this](const auto &Session, CallerRequest Request) {
+               std::make_shared<Exchange>(Shared, Session, std::move(Request))
                    ->start();
              })) &&
       listen(Config.ReadyListen,
-             rulesFor([this](const auto &Session, const CallerRequest &) {
-               answerReady(*Session);
+             makeCallbacks([this](const auto &Session, const CallerRequest &) {
+               answerReadinessCheck(*Session);
              })) &&
       listen(Config.DirectoryListen,
-             rulesFor([this](const auto &Session, const CallerRequest &Asked) {
-               answerDirectory(*Session, Asked);
-             }));
+             makeCallbacks(
+                 [this](const auto &Session, const CallerRequest &Request) {
+                   answerDirectoryRequest(*Session, Request);
+                 }));
   if (!Listening)
     return false;
   sweep();
-  watchStalls();
+  watchForStalls();
   Traffic = std::thread([this] {
     for (;;) {
       try {
         Shared.Io.run();
         return;
       } catch (const std::exception &Why) {
-        // One request failed in a way nobody thought of; the others go on.
+        // An unexpected exception in one request; the others go on.
         logLine(LogPart::Requests, LogLevel::Error,
                 std::string("event=traffic_fault why=") + Why.what());
       }
@@ -133,14 +139,15 @@
   return true;
 }
 
-bool Forwarder::listen(const std::string &At, SessionRules Rules) {
+/** Opens a listener; an empty address means none. */
+bool Forwarder::listen(const std::string &At, SessionCallbacks Callbacks) {
   if (At.empty())
     return true;
-  const auto Where = endpointOf(At);
+  const auto Where = parseEndpoint(At);
   if (!Where)
     return false;
   Listener &One = Listeners.emplace_back(
-      Listener{Tcp::acceptor(Shared.Io), std::move(Rules),
+      Listener{Tcp::acceptor(Shared.Io), std::move(Callbacks),
                boost::asio::steady_timer(Shared.Io)});
   Error ec;
   One.Accepting.open(Where->protocol(), ec);
@@ -159,12 +166,13 @@
   return true;
 }
 
+/** Accepts connections on a listener until it is closed. */
 void Forwarder::accept(Listener &On) {
   On.Accepting.async_accept([this, &On](const Error &ec, Tcp::socket Socket) {
     if (ec == boost::asio::error::operation_aborted)
       return;
     if (!ec) {
-      std::make_shared<CallerSession>(std::move(Socket), On.Rules)->start();
+      std::make_shared<CallerSession>(std::move(Socket), On.Callbacks)->start();
       accept(On);
       return;
     }
@@ -178,8 +186,9 @@
   });
 }
 
+/** Closes expired idle connections, now and periodically. */
 void Forwarder::sweep() {
-  Shared.Connections.sweep(Shared.Clock.now());
+  Shared.Connections.closeExpired(Shared.Clock.now());
   SweepTimer.expires_after(SweepPeriod);
   SweepTimer.async_wait([this](const Error &ec) {
     if (!ec)
@@ -187,9 +196,10 @@
   });
 }
 
-/** A thread that gets no processor reads requests late, and no line of theirs
- * shows it: their times begin when they are read. */
-void Forwarder::watchStalls() {
+/** Logs and counts delays of the traffic thread. A stalled thread reads
+ * requests late, and their own log lines don't show it: their times begin when
+ * they are read. */
+void Forwarder::watchForStalls() {
   const TimePoint Due = Shared.Clock.now() + StallPeriod;
   StallTimer.expires_after(StallPeriod);
   StallTimer.async_wait([this, Due](const Error &ec) {
@@ -202,7 +212,7 @@
               "event=stalled thread=traffic ms=" +
                   std::to_string(Late.count()));
     }
-    watchStalls();
+    watchForStalls();
   });
 }
 
@@ -213,18 +223,19 @@
     Shared.Doc = Doc;
     Shared.DocSince = Now;
     Shared.Index = makeRouteIndex(*Doc);
-    forgetOtherRoutes(Shared.Callers, *Doc);
+    forgetOtherRoutes(Shared.CallerDeadlines, *Doc);
     poolFollows(Shared.Pool, Doc, PublishedAfter, Now);
-    letHeldGoOn();
+    resumeWaitingRequests();
   });
 }
 
-void Forwarder::letHeldGoOn() {
+/** Resumes the requests that wait for readiness once this entry is ready. */
+void Forwarder::resumeWaitingRequests() {
   if (!Shared.Fleet.Ready || Shared.Doc == nullptr)
     return;
-  for (const auto &One : std::exchange(Shared.Held, {}))
+  for (const auto &One : std::exchange(Shared.ReadinessWaiters, {}))
     if (const auto Waiter = One.lock())
-      Waiter->viewCame();
+      Waiter->handleEntryReady();
 }
 
 void Forwarder::hostAnswered(LinkId Link) {
@@ -235,7 +246,7 @@
   boost::asio::post(Shared.Io, [this, Heard] {
     const RateChange Change =
         jacinthpond::rateTold(Shared.Pool, Heard, Shared.Clock.now());
-    // In a large fleet not all entries have links to each other.
+    // Passed on, since in a large fleet not all entries are linked directly.
     if (Change != RateChange::None)
       Shared.SendToEntries(Heard);
   });
@@ -244,11 +255,11 @@
 void Forwarder::placeAnswered(LinkId Link, const PlaceAnswer &Answer) {
   boost::asio::post(Shared.Io, [this, Link, Answer] {
     hostHeard(Shared.Pool, Link);
-    // Taken out with its answer: one that is left would keep the memory of its
-    // request.
-    const auto Node = Shared.Waiting.extract(Answer.Place);
+    // Removed with its answer: a weak pointer that stays in the map would keep
+    // the memory of its request allocated.
+    const auto Node = Shared.SlotWaiters.extract(Answer.Place);
     if (const auto Waiter = Node ? Node.mapped().lock() : nullptr)
-      Waiter->placeAnswered(Answer);
+      Waiter->handleSlotAnswer(Answer);
   });
 }
 
@@ -266,22 +277,24 @@
     Shared.Pool.Entries = Fleet.Sharers;
     Shared.Pool.Sharers = Fleet.SharerNames;
     Shared.Fleet = Fleet;
-    letHeldGoOn();
+    resumeWaitingRequests();
   });
 }
 
-void Forwarder::answerReady(CallerSession &To) const {
+/** Answers a readiness check with status 200 or 503. */
+void Forwarder::answerReadinessCheck(CallerSession &To) const {
   CallerAnswer Out;
   const bool Ready = Shared.Fleet.Ready && Shared.Doc && !Shared.Leaving;
   Out.result(Ready ? http::status::ok : http::status::service_unavailable);
   To.answer(std::move(Out));
 }
 
-void Forwarder::answerDirectory(CallerSession &To,
-                                const CallerRequest &Asked) const {
+/** Answers a caller that asks for the addresses of entries. */
+void Forwarder::answerDirectoryRequest(CallerSession &To,
+                                       const CallerRequest &Request) const {
   CallerAnswer Out;
   const auto Question = Shared.Wire.directoryQuestion(
-      std::string_view(Asked.target().data(), Asked.target().size()));
+      std::string_view(Request.target().data(), Request.target().size()));
   if (!Question) {
     Out.result(http::status::not_found);
     To.answer(std::move(Out));
@@ -289,7 +302,7 @@
   }
   const std::vector<Address> Entries = directoryAnswer(
       Shared.Fleet.Alive, Shared.Doc.get(), Question->Domain, Question->Region);
-  // Without any address the caller asks the next entry.
+  // With status 503 the caller asks the next entry.
   Out.result(Entries.empty() ? http::status::service_unavailable
                              : http::status::ok);
   Out.set(http::field::content_type, "application/json");
--- a/packages/entry/src/forward/forwarder.h
+++ b/packages/entry/src/forward/forwarder.h
@@ -1,4 +1,4 @@
-/** @file forwarder.h Listeners and thread of requests on routes. */
+/** @file forwarder.h Listeners and traffic thread for requests on routes. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_FORWARDER_H
 #define JACINTHPOND_ENTRY_FORWARD_FORWARDER_H
@@ -15,48 +15,49 @@
 
 namespace jacinthpond {
 
-/** Answers callers on routes, readiness checks and the directory. */
+/** Serves requests on routes, readiness checks and the directory on a thread of
+ * its own, the traffic thread. Takes events from other threads. */
 class Forwarder {
 public:
   /**
-   * Sets up; nothing runs yet.
-   * @param Config Settings of the process.
-   * @param Wire How callers and back ends speak; outlives this.
-   * @param Timings Histograms; outlive this.
+   * Creates a forwarder; start() opens its listeners.
+   * @param Config Settings of the process; must outlive this.
+   * @param Wire Headers of callers and back ends; must outlive this.
+   * @param Timings Latency histograms; must outlive this.
    */
   Forwarder(const Settings &Config, const WirePort &Wire,
             TrafficMetrics &Timings);
-  /** Ends the thread. */
+  /** Stops the traffic thread. */
   ~Forwarder();
   Forwarder(const Forwarder &) = delete;
   Forwarder &operator=(const Forwarder &) = delete;
 
   /**
-   * Binds the listeners and starts the thread.
-   * @return False when an address cannot be had.
+   * Binds the listeners and starts the traffic thread.
+   * @return False if an address can't be bound.
    */
   bool start();
 
-  /** The settings changed. @param Changed What is in the file now. */
+  /** Applies changed settings. @param Changed The settings in the file now. */
   void reload(const Settings &Changed);
 
   /**
-   * A document came into force.
+   * Applies a document that came into force.
    * @param Doc The document.
    * @param PublishedAfter Time before which it was not published, if known.
    */
   void follow(DocumentPtr Doc, std::optional<TimePoint> PublishedAfter);
 
-  /** Agents told of their back ends. @param News What they told. */
+  /** Applies reports of agents. @param News The reports. */
   void told(std::vector<AgentNews> News);
 
-  /** The fleet changed. @param Fleet What is known of it. */
+  /** Applies a change of the fleet. @param Fleet The current state. */
   void fleet(FleetSnapshot Fleet);
 
   /**
-   * Names how messages reach agents and other entries.
-   * @param ToAgent Sends over a link; may be called from any thread.
-   * @param ToEntries Sends to all other entries; likewise.
+   * Sets the functions that send messages. Called before start().
+   * @param ToAgent Sends over a link; callable from any thread.
+   * @param ToEntries Sends to all other entries; callable from any thread.
    */
   void sendThrough(std::function<void(LinkId, const Message &)> ToAgent,
                    std::function<void(const Message &)> ToEntries) {
@@ -65,55 +66,57 @@
   }
 
   /**
-   * Another entry heard of a back end's rate limit.
-   * @param Heard What it heard.
+   * Handles a rate limit notice of another entry.
+   * @param Heard The notice.
    */
   void rateTold(const RateHeard &Heard);
 
   /**
-   * An agent answered a request for a place.
-   * @param Link The link to it.
-   * @param Answer What it said.
+   * Handles an agent's answer to a request for a slot.
+   * @param Link The link to the agent.
+   * @param Answer The answer.
    */
   void placeAnswered(LinkId Link, const PlaceAnswer &Answer);
 
-  /** An agent said that its host runs. @param Link The link to it. */
+  /** Handles an agent's answer to a ping. @param Link The link to the agent. */
   void hostAnswered(LinkId Link);
 
-  /** Answers ask to close, and readiness is denied, from now on. */
+  /** Begins to leave: readiness checks fail from now on, and responses close
+   * their connections. */
   void leave() { Shared.Leaving = true; }
 
-  /** Requests that come from now on are refused as not run. */
-  void refuseNew() { Shared.Refusing = true; }
+  /** Refuses new requests from now on, as not executed. */
+  void refuseNew() { Shared.RefusingNew = true; }
 
-  /** Gives the histograms. @return The histograms. */
+  /** Latency histograms. @return The histograms. */
   const TrafficMetrics &timings() const { return Shared.Timings; }
 
-  /** Counts requests under way. @return Requests without a final answer. */
-  uint32_t open() const { return Shared.Open; }
+  /** Number of open requests. @return Requests without a final response. */
+  uint32_t open() const { return Shared.OpenRequests; }
 
-  /** Gives the counters. @return The counters. */
+  /** Counters of events. @return The counters. */
   const ForwardCounters &counters() const { return Shared.Counters; }
 
 private:
-  /** One listening address with its rules. */
+  /** A listening socket and what its sessions do with requests. */
   struct Listener {
     boost::asio::ip::tcp::acceptor Accepting; ///< The socket.
-    SessionRules Rules;                       ///< What its sessions do.
-    boost::asio::steady_timer Pause;          ///< Before accepting again.
+    SessionCallbacks Callbacks;               ///< For its sessions.
+    boost::asio::steady_timer Pause;          ///< Delay after a failed accept.
   };
 
-  void takeOptions(const Settings &From);
-  bool listen(const std::string &At, SessionRules Rules);
+  void applySettings(const Settings &From);
+  bool listen(const std::string &At, SessionCallbacks Callbacks);
   void accept(Listener &On);
   void sweep();
-  void watchStalls();
-  void letHeldGoOn();
-  SessionRules rulesFor(
+  void watchForStalls();
+  void resumeWaitingRequests();
+  SessionCallbacks makeCallbacks(
       std::function<void(const std::shared_ptr<CallerSession> &, CallerRequest)>
           OnRequest);
-  void answerReady(CallerSession &To) const;
-  void answerDirectory(CallerSession &To, const CallerRequest &Asked) const;
+  void answerReadinessCheck(CallerSession &To) const;
+  void answerDirectoryRequest(CallerSession &To,
+                              const CallerRequest &Request) const;
 
   const Settings &Config;
   ForwardContext Shared;
--- a/packages/entry/src/forward/header_fields.h
+++ b/packages/entry/src/forward/header_fields.h
@@ -14,31 +14,32 @@
 namespace jacinthpond {
 
 /**
- * Views a text of the library as one of the standard.
+ * Converts a Boost string view to a standard one.
  * @param Text The text.
- * @return The same characters.
+ * @return A view of the same characters.
  */
-inline std::string_view view(boost::beast::string_view Text) {
+inline std::string_view toStringView(boost::beast::string_view Text) {
   return {Text.data(), Text.size()};
 }
 
 /**
- * Gives the value of a header.
+ * Looks up the value of a header.
  * @param Fields All headers.
- * @param Name Which one.
- * @return Its value; empty when it is missing.
+ * @param Name Name of the header.
+ * @return Its value; empty if it is missing.
  */
-inline std::string_view fieldOf(const boost::beast::http::fields &Fields,
-                                std::string_view Name) {
-  return view(Fields[boost::beast::string_view(Name.data(), Name.size())]);
+inline std::string_view fieldValue(const boost::beast::http::fields &Fields,
+                                   std::string_view Name) {
+  return toStringView(
+      Fields[boost::beast::string_view(Name.data(), Name.size())]);
 }
 
 /**
- * Reads a whole number.
+ * Parses a decimal integer at the start of a header value.
  * @param Text Header value.
  * @return The number, or nothing.
  */
-inline std::optional<int64_t> numberIn(std::string_view Text) {
+inline std::optional<int64_t> parseNumber(std::string_view Text) {
   int64_t n = 0;
   const auto Read = std::from_chars(Text.data(), Text.data() + Text.size(), n);
   if (Text.empty() || Read.ec != std::errc{})
--- a/packages/entry/src/forward/log_value.h
+++ b/packages/entry/src/forward/log_value.h
@@ -1,4 +1,4 @@
-/** @file log_value.h Values in log lines. */
+/** @file log_value.h Sanitizing values for log lines. */
 
 #ifndef JACINTHPOND_ENTRY_FORWARD_LOG_VALUE_H
 #define JACINTHPOND_ENTRY_FORWARD_LOG_VALUE_H
@@ -10,10 +10,11 @@
 namespace jacinthpond {
 
 /**
- * Makes a caller's text fit for a field of a log line: blanks and control
- * characters would split it, or let a caller write fields of its own.
- * @param Text Not trusted.
- * @return The text, cut and cleaned; "-" for an empty one.
+ * Sanitizes untrusted text for a field of a log line. Blanks and control
+ * characters would split the field, or let a caller forge other fields.
+ * @param Text Untrusted text.
+ * @return The text, truncated, with "_" for blanks, control characters and
+ *         bytes that aren't ASCII; "-" for an empty one.
  */
 inline std::string logValue(std::string_view Text) {
   constexpr size_t Longest = 64;
--- a/packages/entry/src/forward/socket_options.h
+++ b/packages/entry/src/forward/socket_options.h
@@ -14,12 +14,12 @@
 namespace jacinthpond {
 
 /**
- * Reads an address.
+ * Parses an address.
  * @param At "IP:port".
- * @return The endpoint; nothing when it is no such address.
+ * @return The endpoint; nothing if the address is malformed.
  */
 inline std::optional<boost::asio::ip::tcp::endpoint>
-endpointOf(const std::string &At) {
+parseEndpoint(const std::string &At) {
   const size_t Colon = At.rfind(':');
   boost::system::error_code ec;
   const auto Ip = boost::asio::ip::make_address(At.substr(0, Colon), ec);
@@ -30,16 +30,17 @@
 }
 
 /**
- * Time in milliseconds after which sent bytes that nobody acknowledges close a
- * connection. A host without power or behind a partition answers nothing, and
- * the kernel alone would wait for minutes.
+ * TCP user timeout in milliseconds: a connection is closed when sent data stays
+ * unacknowledged for so long. A host that lost power or is partitioned doesn't
+ * answer, and the kernel's default would wait for minutes.
  */
 constexpr int UnacknowledgedMillis = 2500;
 
 /**
- * Sends small pieces at once and notices a silent other end.
- * @param Socket A connected socket; what it refuses is left as it is, since
- *        both options only make failures show sooner.
+ * Sets TCP_NODELAY and TCP_USER_TIMEOUT, to send small writes at once and to
+ * detect a dead peer.
+ * @param Socket A connected socket. Errors are ignored, since the connection
+ *        also works without these options.
  */
 inline void setTrafficOptions(boost::asio::ip::tcp::socket &Socket) {
   boost::system::error_code Ignored;
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -1,4 +1,5 @@
-/** @file http_server_test.cpp Start and end of HTTP listeners. */
+/** @file http_server_test.cpp Tests for starting and stopping HTTP listeners.
+ */
 // Labels: product
 
 #include "http/guarded_server.h"
@@ -7,9 +8,9 @@
 
 using namespace jacinthpond;
 
-// A program ended right after it began to listen, because another of its
-// addresses was taken. The HTTP library ignores a stop before its thread
-// accepts, so the listener went on and the program never ended.
+// A program stops right after it begins to listen if another of its addresses
+// is taken. The HTTP library ignores a stop before its thread accepts, so the
+// listener kept running and the program never exited.
 BOOST_AUTO_TEST_CASE(AListenerEndsRightAfterItsStart) {
   constexpr int Rounds = 10;
   for (int n = 0; n < Rounds; ++n) {
--- a/tests/unit/request_framing_test.cpp
+++ b/tests/unit/request_framing_test.cpp
@@ -1,4 +1,4 @@
-/** @file request_framing_test.cpp Where a request ends. */
+/** @file request_framing_test.cpp Tests for finding the end of a request. */
 // Labels: product
 
 #include "http/request_framing.h"
@@ -13,6 +13,7 @@
 
 const std::string Head = "POST /v1 HTTP/1.1\r\nHost: a\r\n";
 
+/** Limits that short texts can exceed. */
 FramingLimits smallLimits() {
   FramingLimits Limits;
   Limits.MaxHeadBytes = 100;
@@ -25,7 +26,7 @@
 BOOST_AUTO_TEST_CASE(TheLengthComesFromTheHeaders) {
   struct Case {
     std::string Text;
-    size_t Bytes;       ///< 0: not known yet, or refused.
+    size_t Bytes;       ///< Length; 0: incomplete head, or refused.
     const char *Detail; ///< Empty: not refused.
   };
   const std::string Ended = Head + "\r\n";
