--- a/packages/entry/src/forward/exchange.cpp
+++ b/packages/entry/src/forward/exchange.cpp
@@ -261,7 +261,7 @@
 void Exchange::sendTo(const ServerView &Server) {
   const TimePoint Now = Shared.Clock.now();
   const HeaderNames &Names = Shared.Wire.names();
-  if (SlotId.Value.empty())
+  if (CurrentSlot.Value.empty())
     sentPastAgent(Shared.Pool, ServerId, Now);
   AttemptHeaders Added;
   Added.Remaining = toMillis(RequestDeadline - Now);
--- a/packages/entry/src/forward/exchange.h
+++ b/packages/entry/src/forward/exchange.h
@@ -126,7 +126,7 @@
   AnswerMode Mode = AnswerMode::Waiting;
   ResponseHead Head;            ///< Head of the response that the caller gets.
   std::string Body;             ///< Body received so far in mode Whole.
-  AttemptId SlotId;             ///< Slot requested or held; empty: none.
+  AttemptId CurrentSlot;        ///< Slot requested or held; empty: none.
   LinkId SlotAgentLink;         ///< Link to the agent that grants the slot.
   bool AwaitingSlot = false;    ///< The agent has not answered yet.
   TimePoint SlotAnswerDeadline; ///< Another back end is tried after this.
--- a/packages/entry/src/forward/exchange_answer.cpp
+++ b/packages/entry/src/forward/exchange_answer.cpp
@@ -60,7 +60,7 @@
   if (it == Shared.Pool.Servers.end())
     return;
   const Millis Age = PerSecond ? Millis(0) : toMillis(Now - CallStartTime);
-  const RateHeard Notice{SlotId, ServerId, PerSecond,
+  const RateHeard Notice{CurrentSlot, ServerId, PerSecond,
                          static_cast<uint64_t>(Age.count())};
   if (hasAgent(it->second))
     Shared.SendToAgent(it->second.Agent->Link, Notice);
--- a/packages/entry/src/forward/exchange_place.cpp
+++ b/packages/entry/src/forward/exchange_place.cpp
@@ -62,10 +62,10 @@
                        MinAgentAnswerTime, MaxAgentAnswerTime);
   if (MostReading.count() == 0)
     SlotAnswerDeadline += Wait; // It may wait in the agent's queue.
-  SlotId = Ask.Place;
+  CurrentSlot = Ask.Place;
   SlotAgentLink = Server.Agent->Link;
   AwaitingSlot = true;
-  Shared.SlotWaiters[SlotId] = weak_from_this();
+  Shared.SlotWaiters[CurrentSlot] = weak_from_this();
   if (const auto Notice = rateToTell(Server, Now))
     Shared.SendToAgent(SlotAgentLink, *Notice);
   Shared.SendToAgent(SlotAgentLink, Ask);
@@ -80,7 +80,7 @@
 void Exchange::handleSlotAnswer(const PlaceAnswer &Answer) {
   const auto Self = shared_from_this();
   const TimePoint Now = Shared.Clock.now();
-  if (!Session || !AwaitingSlot || Answer.Place != SlotId)
+  if (!Session || !AwaitingSlot || Answer.Place != CurrentSlot)
     return;
   AwaitingSlot = false;
   loadTold(Shared.Pool, ServerId, Answer.Load.Busy, Now);
@@ -90,7 +90,7 @@
     return;
   }
   if (!Answer.Given) {
-    SlotId = {}; // The agent keeps no record of a refused slot.
+    CurrentSlot = {}; // The agent keeps no record of a refused slot.
     const Millis Room(static_cast<int64_t>(Answer.RetryAfterMillis));
     if (Answer.Why == ErrorKind::RateLimited) {
       Shared.Counters.add(ForwardCount::RateRefused);
@@ -122,18 +122,18 @@
 /** Releases the slot, or withdraws the request for it. */
 void Exchange::releaseSlot(AttemptEnd How) {
   AwaitingSlot = false;
-  if (SlotId.Value.empty())
+  if (CurrentSlot.Value.empty())
     return;
-  Shared.SlotWaiters.erase(SlotId);
+  Shared.SlotWaiters.erase(CurrentSlot);
   PlaceDone Done;
-  Done.Place = SlotId;
+  Done.Place = CurrentSlot;
   Done.Whole = How == AttemptEnd::Answered;
   Done.Sent = Call != nullptr && Call->hasSent();
   if (FirstByteTime && *FirstByteTime >= CallStartTime)
     Done.FirstPartMillis =
         static_cast<uint64_t>(toMillis(*FirstByteTime - CallStartTime).count());
   Shared.SendToAgent(SlotAgentLink, Done);
-  SlotId = {};
+  CurrentSlot = {};
 }
 
 } // namespace jacinthpond
--- a/packages/entry/src/forward/exchange_silence.cpp
+++ b/packages/entry/src/forward/exchange_silence.cpp
@@ -63,7 +63,7 @@
   const Duration Silent = silenceLimit(false);
   // Further checks follow at a quarter of that time, up to the slow limit.
   TimePoint Next = std::max(LastProgress + Silent, Now + Silent / 4);
-  if (!SlotId.Value.empty()) // Its agent can be pinged.
+  if (!CurrentSlot.Value.empty()) // Its agent can be pinged.
     Next = std::min(Next, std::max(LastProgress + silenceBeforePing(),
                                    Now + SlotCheckPeriod));
   return std::max(Next, Now + MinCheckDelay);
@@ -81,7 +81,8 @@
 /** Pings the host of a back end that has been silent for a while. */
 void Exchange::pingSilentHost(TimePoint Now) {
   const bool Quiet = Now - LastProgress >= silenceBeforePing();
-  if (Quiet && !SlotId.Value.empty() && hostAsked(Shared.Pool, ServerId, Now))
+  if (Quiet && !CurrentSlot.Value.empty() &&
+      hostAsked(Shared.Pool, ServerId, Now))
     Shared.SendToAgent(SlotAgentLink, Ping{});
 }
 
