--- a/packages/ports/src/clock_port.h
+++ b/packages/ports/src/clock_port.h
@@ -1,4 +1,4 @@
-/** @file clock_port.h The runtime's clock behind an interface. */
+/** @file clock_port.h Interface to the monotonic clock. */
 
 #ifndef JACINTHPOND_PORTS_CLOCK_PORT_H
 #define JACINTHPOND_PORTS_CLOCK_PORT_H
@@ -7,14 +7,14 @@
 
 namespace jacinthpond {
 
-/** Source of time; tests pause and advance theirs. */
+/** Source of time; tests use one that they pause and advance. */
 class ClockPort {
 public:
   virtual ~ClockPort() = default;
 
   /**
    * Reads the monotonic clock.
-   * @return Now.
+   * @return The current time.
    */
   virtual TimePoint now() const = 0;
 };
--- a/packages/ports/src/engine_port.h
+++ b/packages/ports/src/engine_port.h
@@ -1,4 +1,4 @@
-/** @file engine_port.h A model engine as its agent uses it. */
+/** @file engine_port.h Interface between an agent and its model engine. */
 
 #ifndef JACINTHPOND_PORTS_ENGINE_PORT_H
 #define JACINTHPOND_PORTS_ENGINE_PORT_H
@@ -11,13 +11,14 @@
 
 namespace jacinthpond {
 
-/** What happens around the order to load a set. */
+/** Callbacks of EnginePort::load(), which sends one or more load orders. */
 struct LoadSteps {
-  /** Right before the order is sent, each time; should it fail, the order is
-   * not sent. */
+  /** Called right before each order is sent, to verify the staged chunks. If it
+   * fails, the order is not sent. */
   std::function<Result<void>()> LastLook;
-  /** The engine took the order. Fails when what lies staged is no longer what
-   * the last look found; otherwise chunks may be staged again. */
+  /** Called when the engine has accepted an order. Fails when the staged chunks
+   * are no longer those that were verified before the order; otherwise chunks
+   * of other versions may be staged again. */
   std::function<Result<void>()> Taken;
 };
 
@@ -27,12 +28,12 @@
   virtual ~EnginePort() = default;
 
   /**
-   * Runs a request and gives its tokens as they come.
-   * @param Request What to run.
-   * @param OnBegin Takes the weights that the engine says it uses, before any
-   *        token; returns false to cancel.
-   * @param OnToken Takes one token; returns false to cancel the stream.
-   * @return How it ended; Unreachable only when it was never sent.
+   * Runs a request and passes on its tokens as they arrive.
+   * @param Request The request.
+   * @param OnBegin Called with the weights that the engine says it uses, before
+   *        any token; returns false to cancel.
+   * @param OnToken Called for each token; returns false to cancel the stream.
+   * @return How the run ended; Unreachable only when the request was not sent.
    */
   virtual Result<EngineEnd>
   generate(const EngineRequest &Request,
@@ -40,7 +41,7 @@
            const std::function<bool(std::string)> &OnToken) = 0;
 
   /**
-   * Reads the engine's own state.
+   * Reads the state that the engine reports of itself.
    * @return The state, or Unreachable.
    */
   virtual Result<EngineState> state() = 0;
@@ -55,18 +56,19 @@
                              const std::string &Bytes) = 0;
 
   /**
-   * Reads back what is staged in a chunk's place. The content is not trusted.
+   * Reads back the bytes that are staged for a chunk. They may be damaged or
+   * belong to another version, so the caller must check them.
    * @param Chunk Which chunk.
    * @return Its bytes, NotFound, or Unreachable.
    */
   virtual Result<std::string> staged(const ChunkRef &Chunk) = 0;
 
   /**
-   * Loads a staged set; returns when that is done.
-   * @param Order What to load.
-   * @param Steps Called from this thread on the way.
+   * Loads a staged set; returns when it is loaded.
+   * @param Order The set to load.
+   * @param Steps Callbacks, called from this thread.
    * @return Nothing, or why the engine refused; OutcomeUnknown when it may have
-   *         loaded something else than the last look found, now or later.
+   *         loaded, or may still load, other chunks than those verified.
    */
   virtual Result<void> load(const LoadOrder &Order, const LoadSteps &Steps) = 0;
 };
--- a/packages/ports/src/peer_port.h
+++ b/packages/ports/src/peer_port.h
@@ -1,4 +1,4 @@
-/** @file peer_port.h Links to other processes of the system. */
+/** @file peer_port.h Interface to the links to other entries and agents. */
 
 #ifndef JACINTHPOND_PORTS_PEER_PORT_H
 #define JACINTHPOND_PORTS_PEER_PORT_H
@@ -8,28 +8,28 @@
 
 namespace jacinthpond {
 
-/** Sends over links. No call blocks. */
+/** Opens, uses and closes links. No call blocks. */
 class PeerPort {
 public:
   virtual ~PeerPort() = default;
 
   /**
-   * Opens a link; success and failure come as events.
+   * Opens a link; success or failure is reported by an event.
    * @param Link Id chosen by the caller, below FirstAcceptedLink.
    * @param To Where to connect.
    */
   virtual void open(LinkId Link, const Address &To) = 0;
 
   /**
-   * Sends a message; lost without a word when the link is gone.
-   * @param Link Over which link.
+   * Sends a message; it is dropped silently when the link is closed.
+   * @param Link Link to use.
    * @param m The message.
    */
   virtual void send(LinkId Link, const Message &m) = 0;
 
   /**
-   * Closes a link; nothing that still arrives on it is delivered.
-   * @param Link Which link.
+   * Closes a link; messages that still arrive on it are dropped.
+   * @param Link Link to close.
    */
   virtual void close(LinkId Link) = 0;
 };
--- a/packages/ports/src/platform_port.h
+++ b/packages/ports/src/platform_port.h
@@ -1,4 +1,5 @@
-/** @file platform_port.h What the platform publishes; it can only be read. */
+/** @file platform_port.h Read-only interfaces to the platform's configuration,
+ * hosts and weights. */
 
 #ifndef JACINTHPOND_PORTS_PLATFORM_PORT_H
 #define JACINTHPOND_PORTS_PLATFORM_PORT_H
@@ -13,23 +14,24 @@
 
 namespace jacinthpond {
 
-/** State of a host in the platform's list. */
+/** State of a host in the platform's host list. */
 enum class HostState : uint8_t { Live, Leaving };
 
-/** The platform's lagging list of hosts. */
+/** The platform's list of hosts, which lags behind their real state. */
 using HostStates = std::map<HostName, HostState>;
 
-/** The configuration service. Each call counts against its rate. */
+/** The configuration service. Each call counts against its rate limit. */
 class ConfigPort {
 public:
   virtual ~ConfigPort() = default;
 
   /**
-   * Reads the document, waiting for a newer one.
-   * @param After Answer at once when the published version is another.
+   * Reads the published document, and waits for it to change first if it has
+   * the given version.
+   * @param After Version in force; returns at once when another is published.
    * @param InForce Digest of the document in force; empty: none.
-   * @param Wait Longest wait; a wait counts as one call.
-   * @return The text, empty when nothing changed, or Unreachable.
+   * @param Wait Longest wait; it counts as one call.
+   * @return Text of the document, empty when it did not change; or Unreachable.
    */
   virtual Result<std::string> watch(ConfigVersion After, const Digest &InForce,
                                     Millis Wait) = 0;
@@ -41,28 +43,28 @@
   virtual ~HostsPort() = default;
 
   /**
-   * Reads the list.
+   * Reads the host list.
    * @return The list, or Unreachable.
    */
   virtual Result<HostStates> hosts() = 0;
 };
 
-/** Origin of weights, behind a rate-limited link. */
+/** Origin of model weights, behind a link of limited bandwidth. */
 class OriginPort {
 public:
   virtual ~OriginPort() = default;
 
   /**
-   * Fetches a chunk. The content is not trusted.
+   * Fetches a chunk. It may be damaged, so the caller must check its digest.
    * @param Chunk Which chunk.
    * @return Its bytes, or Unreachable.
    */
   virtual Result<std::string> fetch(const ChunkRef &Chunk) = 0;
 
   /**
-   * Reads which chunks a version has, where the document does not say it. The
-   * list is not trusted: it may have been damaged on its way.
-   * @param Version Which version; its content and number do not count.
+   * Reads which chunks a version has, for documents that do not list them. The
+   * list may have been damaged in transit.
+   * @param Version Which version; its Content and Number are ignored.
    * @return The list, or Unreachable.
    */
   virtual Result<ChunkList> list(const ChunkRef &Version) = 0;
--- a/packages/ports/src/service_port.h
+++ b/packages/ports/src/service_port.h
@@ -1,4 +1,4 @@
-/** @file service_port.h A plain service as its agent uses it. */
+/** @file service_port.h Interface between an agent and its plain service. */
 
 #ifndef JACINTHPOND_PORTS_SERVICE_PORT_H
 #define JACINTHPOND_PORTS_SERVICE_PORT_H
@@ -10,22 +10,23 @@
 
 namespace jacinthpond {
 
-/** A plain service. Calls block and may be made from several threads. */
+/** A service without a model engine. All calls block and may be made from
+ * several threads. */
 class ServicePort {
 public:
   virtual ~ServicePort() = default;
 
   /**
-   * Makes the call once; never repeats it.
-   * @param Call What to call.
-   * @return The answer; Unreachable only when nothing was sent, else
+   * Sends a call once, without retries.
+   * @param Call The call.
+   * @return The answer; Unreachable only when nothing was sent, otherwise
    *         OutcomeUnknown.
    */
   virtual Result<ServiceAnswer> call(const ServiceCall &Call) = 0;
 
   /**
-   * Asks whether the service answers at all.
-   * @return Its incarnation, or Unreachable.
+   * Checks whether the service answers.
+   * @return Its incarnation, which changes when it restarts; or Unreachable.
    */
   virtual Result<std::string> ping() = 0;
 };
--- a/packages/ports/src/wire_port.h
+++ b/packages/ports/src/wire_port.h
@@ -1,4 +1,4 @@
-/** @file wire_port.h How callers and back ends of routes speak HTTP. */
+/** @file wire_port.h Interface to the HTTP formats of callers and back ends. */
 
 #ifndef JACINTHPOND_PORTS_WIRE_PORT_H
 #define JACINTHPOND_PORTS_WIRE_PORT_H
@@ -14,76 +14,78 @@
 
 namespace jacinthpond {
 
-/** Names of the headers that mean something to the product. */
+/** Names of the HTTP headers that the programs read or write. */
 struct HeaderNames {
-  std::string AttemptId;       ///< Caller's id of one attempt.
-  std::string Remaining;       ///< Milliseconds that the caller still waits.
-  std::string ExpectedServer;  ///< Run of the back end that may answer.
-  std::string ExpectedVersion; ///< Weights that may begin the answer.
-  std::string Tenant;          ///< Workspace, set by the system.
-  std::string Signature;       ///< Marks what a back end really answered.
-  std::string Load;            ///< Load of the answering back end.
-  std::string NotExecuted;     ///< The back end did not run the request.
-  std::string WeightVersion;   ///< Weights that began the answer.
-  std::string Rank;            ///< Urgency for the back end; 0 is first.
-  std::string TokenCounts;     ///< Size of prompt and longest answer.
-  std::string LastEventId;     ///< Last event that the caller has.
-  /** Requests a second that the answering back end takes; any of these. */
+  std::string AttemptId;      ///< Id of one attempt of the caller.
+  std::string Remaining;      ///< Milliseconds until the caller's deadline.
+  std::string ExpectedServer; ///< Incarnation of the back end that may answer.
+  /** Weights version that the answer may start with. */
+  std::string ExpectedVersion;
+  std::string Tenant;        ///< Workspace; set by the entry, not by callers.
+  std::string Signature;     ///< Shows that a back end made the answer.
+  std::string Load;          ///< Load of the answering back end.
+  std::string NotExecuted;   ///< Set when the back end did not run the request.
+  std::string WeightVersion; ///< Weights version that the answer started with.
+  std::string Rank;          ///< Priority for the back end; 0 is the highest.
+  std::string TokenCounts;   ///< Prompt tokens and most tokens of the answer.
+  std::string LastEventId;   ///< Id of the last event that the caller received.
+  /** Rate limit of the answering back end, in requests a second. A back end
+   * sends one of these headers. */
   std::vector<std::string> RateLimits;
 };
 
-/** Who asks which entries to use. */
-struct DirectoryQuestion {
+/** A caller's query for the addresses of entries. */
+struct DirectoryQuery {
   DomainName Domain; ///< Failure domain of the caller; may be empty.
   RegionName Region; ///< Region of the caller; may be empty.
 };
 
-/** Translates; decides nothing. */
+/** Parses and formats; makes no decisions. */
 class WirePort {
 public:
   virtual ~WirePort() = default;
 
   /**
-   * Names the headers.
-   * @return The same names each time.
+   * Gives the names of the headers.
+   * @return The names, the same for each call.
    */
   virtual const HeaderNames &names() const = 0;
 
   /**
-   * Reads a question for addresses.
+   * Parses a query for the addresses of entries.
    * @param Target Request target.
-   * @return The question; nothing when the target asks something else.
+   * @return The query; nothing when the target has another path.
    */
-  virtual std::optional<DirectoryQuestion>
+  virtual std::optional<DirectoryQuery>
   directoryQuestion(std::string_view Target) const = 0;
 
   /**
-   * Writes the answer to it.
-   * @param Entries Where callers may connect.
-   * @param Keep How long they may keep the answer.
-   * @return JSON text.
+   * Formats the answer to such a query.
+   * @param Entries Addresses at which callers may connect.
+   * @param Keep How long callers may cache the answer.
+   * @return JSON text of the body.
    */
   virtual std::string directoryAnswer(const std::vector<Address> &Entries,
                                       Millis Keep) const = 0;
 
   /**
-   * Reads the load that a back end tells with an answer.
+   * Parses the load that a back end reports with an answer.
    * @param Value Header value.
-   * @return Requests that run or wait there; nothing when unreadable.
+   * @return Number of requests that run or wait there; nothing when malformed.
    */
   virtual std::optional<uint32_t> busyOf(std::string_view Value) const = 0;
 
   /**
-   * Reads the rate limit that a back end sets for itself.
+   * Parses the rate limit that a back end reports with an answer.
    * @param Value Header value.
-   * @return Requests a second, 0 or more; nothing when unreadable.
+   * @return Requests a second, 0 or more; nothing when malformed.
    */
   virtual std::optional<double> rateLimitOf(std::string_view Value) const = 0;
 
   /**
-   * Reads the size of a prompt.
+   * Parses the size of a prompt.
    * @param Value Header value.
-   * @return Tokens; 0 when unreadable.
+   * @return Number of prompt tokens; 0 when malformed.
    */
   virtual uint32_t promptTokens(std::string_view Value) const = 0;
 };
