--- a/packages/agent/src/agent_admin.cpp
+++ b/packages/agent/src/agent_admin.cpp
@@ -1,4 +1,4 @@
-/** @file agent_admin.cpp Health and metrics of an agent. */
+/** @file agent_admin.cpp HTTP server for the health and metrics of an agent. */
 
 #include "agent_admin.h"
 
@@ -17,42 +17,45 @@
 
 namespace {
 
-Json healthOf(const AgentState &Agent) {
-  return {{"version", versionInForce(Agent.View).Value},
-          {"back_end_up", Agent.BackEndUp},
-          {"leaving", Agent.Stopping},
-          {"running", Agent.Gate.Running},
-          {"limit", Agent.Gate.Limit},
-          {"weights", Agent.Weights.Loaded.Value}};
+/** Body of the answer to /v1/health. */
+Json healthBody(const AgentState &State) {
+  return {{"version", versionInForce(State.View).Value},
+          {"back_end_up", State.BackEndUp},
+          {"leaving", State.Stopping},
+          {"running", State.Gate.Running},
+          {"limit", State.Gate.Limit},
+          {"weights", State.Weights.Loaded.Value}};
 }
 
 } // namespace
 
-AgentAdmin::AgentAdmin(const Settings &Config, AgentShell &Host)
-    : At(Config.AdminListen), Host(Host),
+AgentAdmin::AgentAdmin(const Settings &Config, AgentShell &Agent)
+    : ListenAddress(Config.AdminListen), Agent(Agent),
       Server(std::make_unique<GuardedServer>(adminLimits())) {
   Server->Get("/v1/health", [this](const auto &, auto &Answer) {
     Json Body;
-    this->Host.inspect(
-        [&](const AgentState &Agent, TimePoint) { Body = healthOf(Agent); });
+    this->Agent.inspect(
+        [&](const AgentState &State, TimePoint) { Body = healthBody(State); });
     Answer.set_content(Body.dump(), "application/json");
   });
-  Server->Get("/metrics", [this](const auto &Asked, auto &Answer) {
-    MetricFamilies All = this->Host.timings().collect();
+  Server->Get("/metrics", [this](const auto &Request, auto &Answer) {
+    MetricFamilies All = this->Agent.timings().collect();
     DocumentPtr Doc;
-    this->Host.inspect([&](const AgentState &Agent, TimePoint) {
-      std::ranges::move(agentFamilies(Agent), std::back_inserter(All));
-      Doc = Agent.View.InForce;
+    this->Agent.inspect([&](const AgentState &State, TimePoint) {
+      std::ranges::move(agentMetricFamilies(State), std::back_inserter(All));
+      Doc = State.View.InForce;
     });
     Answer.set_content(
-        metricsText(
-            visibleTo(All, Doc.get(), Asked.get_header_value("Authorization"))),
+        metricsText(visibleTo(All, Doc.get(),
+                              Request.get_header_value("Authorization"))),
         "text/plain; version=0.0.4");
   });
 }
 
-AgentAdmin::~AgentAdmin() { Server->finish(Accepting); }
+AgentAdmin::~AgentAdmin() { Server->finish(AcceptThread); }
 
-std::string AgentAdmin::start() { return startServer(*Server, At, Accepting); }
+std::string AgentAdmin::start() {
+  return startServer(*Server, ListenAddress, AcceptThread);
+}
 
 } // namespace jacinthpond
--- a/packages/agent/src/agent_admin.h
+++ b/packages/agent/src/agent_admin.h
@@ -1,4 +1,4 @@
-/** @file agent_admin.h Health and metrics of an agent, on its own listener. */
+/** @file agent_admin.h HTTP server for the health and metrics of an agent. */
 
 #ifndef JACINTHPOND_AGENT_AGENT_ADMIN_H
 #define JACINTHPOND_AGENT_AGENT_ADMIN_H
@@ -13,31 +13,31 @@
 
 class GuardedServer;
 
-/** Serves health and metrics until it is destroyed. */
+/** HTTP server for /v1/health and /metrics; runs until it is destroyed. */
 class AgentAdmin {
 public:
   /**
-   * Sets up; nothing is accepted yet.
+   * Registers the request handlers; no connection is accepted before start().
    * @param Config Settings of the process.
-   * @param Host The agent; outlives the listener.
+   * @param Agent The agent; must outlive the server.
    */
-  AgentAdmin(const Settings &Config, AgentShell &Host);
-  /** Lets answers under way end, then ends the server's threads. */
+  AgentAdmin(const Settings &Config, AgentShell &Agent);
+  /** Lets answers in progress finish, then ends the server's threads. */
   ~AgentAdmin();
   AgentAdmin(const AgentAdmin &) = delete;
   AgentAdmin &operator=(const AgentAdmin &) = delete;
 
   /**
-   * Starts to accept.
-   * @return The address in use; empty when it cannot be had.
+   * Listens and starts to accept connections.
+   * @return The address in use; empty when listening failed.
    */
   std::string start();
 
 private:
-  std::string At; ///< Where to listen.
-  AgentShell &Host;
+  std::string ListenAddress;
+  AgentShell &Agent;
   std::unique_ptr<GuardedServer> Server;
-  std::thread Accepting;
+  std::thread AcceptThread;
 };
 
 } // namespace jacinthpond
--- a/packages/agent/src/agent_metrics.h
+++ b/packages/agent/src/agent_metrics.h
@@ -9,11 +9,11 @@
 namespace jacinthpond {
 
 /**
- * Reads the counters out of the state.
- * @param Agent The state.
- * @return Families for the page; none names a tenant.
+ * Gives an agent's counters and gauges for the metrics page.
+ * @param Agent State to read them from.
+ * @return The metric families; none has a workspace label.
  */
-MetricFamilies agentFamilies(const AgentState &Agent);
+MetricFamilies agentMetricFamilies(const AgentState &Agent);
 
 } // namespace jacinthpond
 
--- a/packages/agent/src/agent_shell.cpp
+++ b/packages/agent/src/agent_shell.cpp
@@ -1,4 +1,5 @@
-/** @file agent_shell.cpp The agent program: threads around its decisions. */
+/** @file agent_shell.cpp Runtime of an agent: threads, links, back end calls.
+ */
 
 #include "agent_shell.h"
 
@@ -20,45 +21,47 @@
 
 namespace {
 
-/** Time between two looks at the clock. */
+/** Period of the control thread. */
 constexpr Millis TickPeriod{50};
-/** Time between two readings of the back end's state. */
-constexpr Millis WatchPeriod{200};
+/** Time between two reads of the back end's state. */
+constexpr Millis BackEndPollPeriod{200};
 /** Threads that fetch and load weights. */
-constexpr size_t FetchThreads = 5;
-/** Chunks kept while peers ask for their parts: two peers, two chunks each. */
-constexpr size_t MostRecentlyRead = 4;
-/** Time between two looks while weights move, so that parts leave evenly. */
-constexpr Millis BusyTickPeriod{10};
-/** Chunks in a row that lie staged and are not wanted, after which the rest is
- * not looked at; single ones may have been damaged. */
-constexpr size_t MaxWrongStaged = 4;
-/** Longest look at the staged chunks before an order; well below the 3 s for
- * which a chunk that turned bad is not held against its reader. */
-constexpr Millis LongestLook{1500};
-/** Longest time in which staged chunks are read again after an order: as long
- * as an order may take. */
-constexpr Millis LongestConfirm{15000};
-/** Wait before a staged chunk that was not given is read again. */
-constexpr Millis ConfirmRepeat{200};
-/** Longest wait for peers to take the last messages. */
-constexpr Millis FinishWait{1000};
-/** Part of the grace time that is kept for ending, before the process is
- * killed: the last messages, and threads that end. */
-constexpr Millis EndMargin = FinishWait + Millis(600);
-/** Time between two looks at the work in progress while draining. */
-constexpr Millis DrainPoll{20};
+constexpr size_t FetchThreadCount = 5;
+/** Staged chunks kept in memory while peers fetch their parts: two peers, two
+ * chunks each. */
+constexpr size_t MaxRecentlyRead = 4;
+/** Period of the control thread during uploads, so that parts are sent at an
+ * even rate. */
+constexpr Millis UploadTickPeriod{10};
+/** Consecutive staged chunks with other content after which the rest is not
+ * read: another version is staged. A few may just have been damaged. */
+constexpr size_t MaxStagedMismatches = 4;
+/** Longest time to verify the staged chunks before an order. A chunk that was
+ * damaged less than 3 s before it is loaded is not held against the agent. */
+constexpr Millis MaxVerifyTime{1500};
+/** Longest time to verify the staged chunks after an order: as long as an order
+ * may take. */
+constexpr Millis MaxConfirmTime{15000};
+/** Wait before a failed read of a staged chunk is retried. */
+constexpr Millis ConfirmRetryDelay{200};
+/** Longest wait at shutdown for the last messages to be sent. */
+constexpr Millis FlushTimeout{1000};
+/** Part of the grace time that is reserved for the last messages and for
+ * joining the threads, before the process is killed. */
+constexpr Millis ShutdownMargin = FlushTimeout + Millis(600);
+/** Time between two checks for open attempts while draining. */
+constexpr Millis DrainPollPeriod{20};
 
 } // namespace
 
-AgentShell::AgentShell(const Settings &Config, const BackEnds &Beside)
+AgentShell::AgentShell(const Settings &Config, const BackEnds &Ports)
     : Loop(Clock), Pauses(Clock.now(), Millis(Config.PauseGapMillis)),
       State(makeAgent(Config, Incarnation{randomIncarnation()}, Clock.now())),
-      Beside(Beside),
+      Ports(Ports),
       Runners(std::make_unique<httplib::ThreadPool>(
-          runsOnStore(Config) ? 1 // Requests go past the agent there.
+          runsOnStore(Config) ? 1 // Requests do not pass through the agent.
                               : static_cast<size_t>(Config.WarmLimit))),
-      Fetchers(std::make_unique<httplib::ThreadPool>(FetchThreads)),
+      Fetchers(std::make_unique<httplib::ThreadPool>(FetchThreadCount)),
       Links({[this](LinkId Link) {
                post([this, Link](TimePoint Now, Effects &Out) {
                  agentLinkOpened(State, Link, Now, Out);
@@ -71,7 +74,7 @@
              },
              [this](LinkId Link, Message m) {
                if (auto *Data = std::get_if<ChunkData>(&m)) {
-                 takeChunk(Link, std::move(*Data));
+                 receiveChunkData(Link, std::move(*Data));
                  return;
                }
                post([this, Link, Kept = std::move(m)](TimePoint Now,
@@ -80,7 +83,7 @@
                });
              },
              [this](LinkId Link, const Failure &Why) {
-               // What the frame said is lost, so both ends start anew.
+               // The content of the frame is lost, so the link is opened anew.
                logLine(LogPart::Links, LogLevel::Warn,
                        "Unreadable frame; link dropped: " + Why.Detail);
                Links.close(Link);
@@ -91,20 +94,20 @@
 
 AgentShell::~AgentShell() {
   Ending = true;
-  if (Watcher.joinable())
-    Watcher.join();
+  if (PollThread.joinable())
+    PollThread.join();
   Runners->shutdown();
   Fetchers->shutdown();
   Loop.stop();
-  if (Control.joinable())
-    Control.join();
+  if (ControlThread.joinable())
+    ControlThread.join();
 }
 
 std::string AgentShell::start() {
   const std::string At = Links.listen(State.Config.PeerListen);
   if (At.empty())
     return At;
-  Control = std::thread([this] {
+  ControlThread = std::thread([this] {
     Loop.run(TickPeriod, [this](TimePoint Now) {
       Pauses.beat(Now);
       Effects Out;
@@ -112,13 +115,13 @@
         if (Peer.BacklogBytes > 0)
           linkBacklog(State, Link, Links.backlog(Link));
       agentTick(State, Now, Out);
-      const bool Moving = !State.Transfer.Uploads.empty();
-      Loop.setPeriod(Moving ? BusyTickPeriod : TickPeriod);
+      const bool IsUploading = !State.Transfer.Uploads.empty();
+      Loop.setPeriod(IsUploading ? UploadTickPeriod : TickPeriod);
       tellLoad(State, Out);
       perform(std::move(Out));
     });
   });
-  Watcher = std::thread([this] { watchBackEnd(); });
+  PollThread = std::thread([this] { pollBackEnd(); });
   return At;
 }
 
@@ -144,13 +147,13 @@
               Links.send(e.Link, e.Content);
             },
             [this](const RunModel &e) {
-              noteStart(e.Request.Attempt);
+              recordQueueTime(e.Request.Attempt);
               Runners->enqueue([this, Request = e.Request, At = Clock.now()] {
                 runModel(Request, At);
               });
             },
             [this](const RunService &e) {
-              noteStart(e.Call.Attempt);
+              recordQueueTime(e.Call.Attempt);
               Runners->enqueue([this, Call = e.Call, At = Clock.now()] {
                 runService(Call, At);
               });
@@ -168,7 +171,7 @@
             },
             [this](const ReadStaged &e) {
               Fetchers->enqueue(
-                  [this, Chunks = e.Chunks] { readStaged(Chunks); });
+                  [this, Chunks = e.Chunks] { reportStagedChunks(Chunks); });
             },
             [this](const StageChunk &e) {
               Fetchers->enqueue([this, Todo = e] { stageChunk(Todo); });
@@ -178,18 +181,18 @@
             },
             [this](const LoadWeights &e) {
               Fetchers->enqueue(
-                  [this, Load = e, Before = Pauses.pauses(Clock.now())] {
-                    loadWeights(Load, Before);
+                  [this, Load = e, PausesBefore = Pauses.pauses(Clock.now())] {
+                    loadWeights(Load, PausesBefore);
                   });
             },
             [](const LogNote &e) { logLine(e.Part, e.Level, e.Text); },
             [](const auto &) {
-              // Effects of entries; an agent has none of them.
+              // Other effects occur only in entries.
             }},
         One);
 }
 
-void AgentShell::noteStart(const AttemptId &Which) {
+void AgentShell::recordQueueTime(const AttemptId &Which) {
   const auto it = State.Attempts.find(Which);
   if (it == State.Attempts.end())
     return;
@@ -201,14 +204,14 @@
               " goes to the back end.");
 }
 
-bool AgentShell::cancelled(const AttemptId &Which) {
+bool AgentShell::isCancelled(const AttemptId &Which) {
   const std::lock_guard Lock(CancelGuard);
   return Cancelled.contains(Which);
 }
 
-Result<void> AgentShell::refuseAfterPause(TimePoint Decided) const {
-  // The process may have been stopped between the decision and the call. The
-  // decision is then old, the domain may be out: nothing is sent any more.
+Result<void> AgentShell::failAfterPause(TimePoint Decided) const {
+  // If the process was suspended between the decision and the call, the
+  // decision is out of date: the domain may have been taken out meanwhile.
   if (Clock.now() - Decided > State.Fleet.Times.PauseGap)
     return fail(ErrorKind::Unreachable, "paused before the call");
   return {};
@@ -217,21 +220,21 @@
 void AgentShell::runModel(const EngineRequest &Request, TimePoint Decided) {
   const AttemptId Which = Request.Attempt;
   const auto End = outcomeOf([&]() -> Result<EngineEnd> {
-    BOOST_LEAF_CHECK(refuseAfterPause(Decided));
-    return Beside.Engine->generate(
+    BOOST_LEAF_CHECK(failAfterPause(Decided));
+    return Ports.Engine->generate(
         Request,
         [&](const Digest &Weights) {
           post([this, Which, Weights](TimePoint, Effects &Out) {
             engineBegan(State, Which, Weights, Out);
           });
-          return !cancelled(Which);
+          return !isCancelled(Which);
         },
         [&](std::string Token) {
           post([this, Which, Token = std::move(Token)](TimePoint Now,
                                                        Effects &Out) {
             engineToken(State, Which, Token, Now, Out);
           });
-          return !cancelled(Which);
+          return !isCancelled(Which);
         });
   });
   {
@@ -245,8 +248,8 @@
 
 void AgentShell::runService(const ServiceCall &Call, TimePoint Decided) {
   const auto Answer = outcomeOf([&]() -> Result<ServiceAnswer> {
-    BOOST_LEAF_CHECK(refuseAfterPause(Decided));
-    return Beside.Service->call(Call);
+    BOOST_LEAF_CHECK(failAfterPause(Decided));
+    return Ports.Service->call(Call);
   });
   post([this, Which = Call.Attempt, Answer](TimePoint Now, Effects &Out) {
     serviceAnswered(State, Which, Answer, Now, Out);
@@ -255,26 +258,26 @@
 
 void AgentShell::readChunkList(const ChunkRef &Version) {
   Outcome<ChunkList> Read;
-  if (Beside.Origin != nullptr)
-    Read = outcomeOf([&] { return Beside.Origin->list(Version); });
+  if (Ports.Origin != nullptr)
+    Read = outcomeOf([&] { return Ports.Origin->list(Version); });
   post([this, Version, Read](TimePoint Now, Effects &Out) {
     chunkListRead(State, Version, Read, Now, Out);
   });
 }
 
-void AgentShell::readStaged(const std::vector<ChunkRef> &Chunks) {
-  size_t Wrong = 0;
+void AgentShell::reportStagedChunks(const std::vector<ChunkRef> &Chunks) {
+  size_t Mismatches = 0;
   for (const ChunkRef &Chunk : Chunks) {
-    auto Read = outcomeOf([&] { return Beside.Engine->staged(Chunk); });
+    auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
     ChunkBytes Bytes;
     if (Read.Value)
       Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
-    const CheckedChunk Came = checkChunk(Bytes);
-    // Another version lies there, or none: the rest would only cost time.
-    Wrong = Came.Actual == Chunk.Content ? 0 : Wrong + 1;
-    if (Wrong > MaxWrongStaged || Ending)
+    const CheckedChunk Received = checkChunk(Bytes);
+    // After several mismatches another version, or none, is staged.
+    Mismatches = Received.Actual == Chunk.Content ? 0 : Mismatches + 1;
+    if (Mismatches > MaxStagedMismatches || Ending)
       return;
-    if (Wrong == 0)
+    if (Mismatches == 0)
       post([this, Chunk](TimePoint Now, Effects &Out) {
         agentStaged(State, Chunk, true, Now, Out);
       });
@@ -284,7 +287,7 @@
 void AgentShell::stageChunk(const StageChunk &Todo) {
   const auto Done = outcomeOf([&]() -> Result<bool> {
     const std::lock_guard Lock(LoadGuard);
-    BOOST_LEAF_CHECK(Beside.Engine->stage(Todo.Chunk, *Todo.Bytes));
+    BOOST_LEAF_CHECK(Ports.Engine->stage(Todo.Chunk, *Todo.Bytes));
     return true;
   });
   post([this, Chunk = Todo.Chunk,
@@ -296,86 +299,85 @@
 void AgentShell::sendStaged(const SendStaged &Todo) {
   ChunkData Data;
   Data.Chunk = Todo.Chunk.Content;
-  // An empty answer tells the peer to ask elsewhere.
-  if (const ChunkBytes Whole = readStagedChunk(Todo.Chunk))
+  // A message without data tells the peer to ask another agent.
+  if (const ChunkBytes Whole = readVerifiedChunk(Todo.Chunk))
     takePart(*Whole, Todo.Offset, Todo.Length, Data);
   else
-    noteSpoilt(Todo.Chunk.Content);
+    reportDamagedChunk(Todo.Chunk.Content);
   Links.send(Todo.Link, Data);
 }
 
-/** Reads a staged chunk and checks it, since it may have been damaged. Peers
- * ask for the parts of a chunk one after the other. */
-ChunkBytes AgentShell::readStagedChunk(const ChunkRef &Chunk) {
+// The chunk is verified because it may have been damaged since it was staged,
+// and kept in memory because peers ask for its parts one after the other.
+ChunkBytes AgentShell::readVerifiedChunk(const ChunkRef &Chunk) {
   const std::lock_guard Lock(StagedGuard);
   const auto it = std::ranges::find(RecentlyRead, Chunk.Content,
                                     &std::pair<Digest, ChunkBytes>::first);
   if (it != RecentlyRead.end())
     return it->second;
-  auto Read = outcomeOf([&] { return Beside.Engine->staged(Chunk); });
+  auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
   if (!Read.Value || sha256(*Read.Value) != Chunk.Content)
     return nullptr;
   auto Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
   RecentlyRead.emplace_back(Chunk.Content, Bytes);
-  if (RecentlyRead.size() > MostRecentlyRead)
+  if (RecentlyRead.size() > MaxRecentlyRead)
     RecentlyRead.pop_front();
   return Bytes;
 }
 
-void AgentShell::noteSpoilt(const Digest &Chunk) {
+void AgentShell::reportDamagedChunk(const Digest &Chunk) {
   post([this, Chunk](TimePoint Now, Effects &Out) {
     agentSpoilt(State, Chunk, Now, Out);
   });
 }
 
-/** Looks at one chunk of a set that is about to be loaded: what lies staged is
- * read back, since it may have been damaged since it came. */
 Result<void> AgentShell::prepareChunk(const ChunkRef &Chunk,
                                       const ChunkBytes &Bytes) {
   if (Bytes != nullptr)
-    return Beside.Engine->stage(Chunk, *Bytes);
-  const auto Read = outcomeOf([&] { return Beside.Engine->staged(Chunk); });
+    return Ports.Engine->stage(Chunk, *Bytes);
+  const auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
   if (Read.Value && sha256(*Read.Value) == Chunk.Content)
     return {};
-  noteSpoilt(Chunk.Content);
+  reportDamagedChunk(Chunk.Content);
   return fail(ErrorKind::WeightsNotReady, "a staged chunk is damaged");
 }
 
-/** Checks after an order that what lies staged is the set that was ordered. */
 Result<void> AgentShell::confirmStaged(const LoadOrder &Order) {
-  const TimePoint Limit = Clock.now() + LongestConfirm;
+  const TimePoint Limit = Clock.now() + MaxConfirmTime;
   for (size_t n = 0; n < Order.Chunks.size(); ++n) {
     const ChunkRef Chunk{Order.Model, Order.Version, n, Order.Chunks[n], {}};
-    auto Read = outcomeOf([&] { return Beside.Engine->staged(Chunk); });
-    // An engine that stands still after the order may have taken it as it was.
+    auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
+    // An engine that does not answer now may have loaded the staged set all the
+    // same, so the read is retried.
     while (!Read.Value && Clock.now() < Limit && !Ending) {
-      std::this_thread::sleep_for(ConfirmRepeat);
-      Read = outcomeOf([&] { return Beside.Engine->staged(Chunk); });
+      std::this_thread::sleep_for(ConfirmRetryDelay);
+      Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
     }
     if (Read.Value && sha256(*Read.Value) == Chunk.Content)
       continue;
     if (Read.Value)
-      noteSpoilt(Chunk.Content);
+      reportDamagedChunk(Chunk.Content);
     return fail(ErrorKind::OutcomeUnknown,
-                "chunk " + std::to_string(n) + " differs after the order");
+                "staged chunk " + std::to_string(n) +
+                    " differs from the ordered one after the order");
   }
   return {};
 }
 
 void AgentShell::fetchChunk(const ChunkRef &Chunk) {
   ChunkBytes Bytes;
-  if (Beside.Origin != nullptr) {
-    auto Read = outcomeOf([&] { return Beside.Origin->fetch(Chunk); });
+  if (Ports.Origin != nullptr) {
+    auto Read = outcomeOf([&] { return Ports.Origin->fetch(Chunk); });
     if (Read.Value)
       Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
   }
-  post([this, Content = Chunk.Content, Came = checkChunk(Bytes)](TimePoint Now,
-                                                                 Effects &Out) {
-    originAnswered(State, Content, Came, Now, Out);
+  post([this, Content = Chunk.Content,
+        Received = checkChunk(Bytes)](TimePoint Now, Effects &Out) {
+    originAnswered(State, Content, Received, Now, Out);
   });
 }
 
-void AgentShell::takeChunk(LinkId Link, ChunkData Data) {
+void AgentShell::receiveChunkData(LinkId Link, ChunkData Data) {
   if (Data.Bytes.empty() || Data.Bytes.size() < Data.Total) {
     post([this, Link, Kept = std::move(Data)](TimePoint Now, Effects &Out) {
       peerSentPart(State, Link, Kept, Now, Out);
@@ -385,59 +387,63 @@
   ChunkBytes Bytes;
   if (!Data.Bytes.empty())
     Bytes = std::make_shared<const std::string>(std::move(Data.Bytes));
-  // Digested here, on the network thread, to keep the control thread free.
+  // The digest is computed on the network thread, off the control thread.
   post([this, Link, Chunk = std::move(Data.Chunk),
-        Came = checkChunk(std::move(Bytes))](TimePoint Now, Effects &Out) {
-    peerSentChunk(State, Link, Chunk, Came, Now, Out);
+        Received = checkChunk(std::move(Bytes))](TimePoint Now, Effects &Out) {
+    peerSentChunk(State, Link, Chunk, Received, Now, Out);
   });
 }
 
-void AgentShell::loadWeights(const LoadWeights &Load, uint64_t Before) {
-  // The engine loads what lies staged when it takes the order. A chunk of the
-  // next version that came in between would be loaded unchecked. Once the order
-  // is taken, chunks come again: the engine may work on long answers first.
-  // The lock does not hold back a write that got no answer and is read late,
-  // nor one of another agent. Those show after the order: what is staged then,
-  // with no write in between, was staged at the order.
+void AgentShell::loadWeights(const LoadWeights &Load, uint64_t PausesBefore) {
+  // The engine loads the chunks that are staged when it accepts the order, so
+  // no chunk of the next version may be staged between verification and
+  // acceptance: it would be loaded unverified. The lock is released once the
+  // order is accepted, since the engine may finish long answers before it
+  // loads. The lock does not stop a write that timed out and is read late, nor
+  // one of another agent. confirmStaged() finds those: if the staged set is
+  // still the ordered one afterwards, it was staged when the order was
+  // accepted.
   std::unique_lock Lock(LoadGuard);
   const TimePoint Began = Clock.now();
-  const auto Tell = [&](const char *Event) {
+  const auto LogEvent = [&](const char *Event) {
     logLine(LogPart::Weights, LogLevel::Info,
             std::string("event=") + Event + " set=" + Load.Order.Set.Value +
                 " ms=" + std::to_string(toMillis(Clock.now() - Began).count()));
   };
   LoadSteps Steps;
   Steps.Taken = [&]() -> Result<void> {
-    Tell("order_taken");
+    LogEvent("order_taken");
     BOOST_LEAF_CHECK(confirmStaged(Load.Order));
-    Tell("load_confirmed");
+    LogEvent("load_confirmed");
     Lock.unlock();
     return {};
   };
   Steps.LastLook = [&]() -> Result<void> {
-    if (!Lock.owns_lock()) // A set that is loaded anew takes several orders.
+    if (!Lock.owns_lock()) // A forced reload takes several orders.
       Lock.lock();
-    const TimePoint LookBegan = Clock.now();
+    const TimePoint VerifyBegan = Clock.now();
     for (size_t n = 0; n < Load.Chunks.size(); ++n) {
       BOOST_LEAF_CHECK(prepareChunk(
           {Load.Order.Model, Load.Order.Version, n, Load.Order.Chunks[n], {}},
           Load.Chunks[n]));
-      // On a host that is far too slow the first chunk may have turned bad
-      // before the last one is read. The order is tried again later, on a look
-      // that says how things are; such a host could not serve anyway.
-      if (Load.Chunks[n] == nullptr && Clock.now() - LookBegan > LongestLook)
+      // On an overloaded host the first chunk may be damaged again before the
+      // last one is read. The order is retried later with a new verification;
+      // such a host could not serve requests anyway.
+      if (Load.Chunks[n] == nullptr &&
+          Clock.now() - VerifyBegan > MaxVerifyTime)
         return fail(ErrorKind::WeightsNotReady,
-                    "staged chunks are read too slowly");
+                    "verifying the staged chunks took too long");
     }
-    // A process that was paused wakes with an order that may be long out of
-    // date, while another agent owns the host; some engines would obey it.
-    if (Pauses.pauses(Clock.now()) != Before)
-      return fail(ErrorKind::StaleView, "paused since the order was decided");
-    Tell("set_checked");
+    // After a pause of the process the order may be out of date and another
+    // agent may control the host; some engines would still accept it.
+    if (Pauses.pauses(Clock.now()) != PausesBefore)
+      return fail(ErrorKind::StaleView,
+                  "process was paused after the order was decided");
+    LogEvent("set_checked");
     return {};
   };
   const auto Done = outcomeOf([&]() -> Result<bool> {
-    BOOST_LEAF_CHECK(Beside.Engine->load(Load.Order, Steps));
+    BOOST_LEAF_CHECK(Ports.Engine->load(Load.Order, Steps));
     return true;
   });
   if (Lock.owns_lock())
@@ -449,48 +455,50 @@
     loadEnded(State, Why, Now, Out);
   });
   {
-    const std::lock_guard Lock(WatchGuard);
+    const std::lock_guard Lock(PollGuard);
     ++OrdersEnded;
   }
-  WatchNow.notify_all();
+  PollNow.notify_all();
 }
 
-void AgentShell::watchBackEnd() {
+void AgentShell::pollBackEnd() {
   while (!Ending) {
     uint64_t Orders = 0;
     {
-      const std::lock_guard Lock(WatchGuard);
+      const std::lock_guard Lock(PollGuard);
       Orders = OrdersEnded;
     }
-    if (Beside.Engine != nullptr) {
-      const auto Read = outcomeOf([&] { return Beside.Engine->state(); });
+    if (Ports.Engine != nullptr) {
+      const auto Read = outcomeOf([&] { return Ports.Engine->state(); });
       post([this, Read, Orders](TimePoint Now, Effects &Out) {
         engineStateRead(State, Read, Orders, Now, Out);
       });
     }
-    if (Beside.Service != nullptr) {
-      const auto Read = outcomeOf([&] { return Beside.Service->ping(); });
+    if (Ports.Service != nullptr) {
+      const auto Read = outcomeOf([&] { return Ports.Service->ping(); });
       post([this, Read](TimePoint Now, Effects &Out) {
         servicePinged(State, Read, Now, Out);
       });
     }
-    std::unique_lock Lock(WatchGuard);
-    WatchNow.wait_for(Lock, WatchPeriod, [&] { return OrdersEnded != Orders; });
+    std::unique_lock Lock(PollGuard);
+    PollNow.wait_for(Lock, BackEndPollPeriod,
+                     [&] { return OrdersEnded != Orders; });
   }
 }
 
 void AgentShell::inspect(
-    const std::function<void(const AgentState &, TimePoint)> &Look) {
-  Loop.postAndWait([&](TimePoint Now) { Look(State, Now); });
+    const std::function<void(const AgentState &, TimePoint)> &Read) {
+  Loop.postAndWait([&](TimePoint Now) { Read(State, Now); });
 }
 
 bool AgentShell::drain() {
   post([this](TimePoint Now, Effects &Out) { agentStop(State, Now, Out); });
-  const TimePoint Limit = Clock.now() + shutdownTime(State.Config, EndMargin);
+  const TimePoint Limit =
+      Clock.now() + shutdownTime(State.Config, ShutdownMargin);
   size_t Open = 0;
   bool Known = false;
   do {
-    std::this_thread::sleep_for(DrainPoll);
+    std::this_thread::sleep_for(DrainPollPeriod);
     inspect([&](const AgentState &Agent, TimePoint) {
       Open = Agent.Attempts.size();
       Known = leavingIsKnown(Agent.Fleet);
@@ -499,7 +507,7 @@
   if (Open > 0)
     logLine(LogPart::Main, LogLevel::Error,
             "Shutdown cut off " + std::to_string(Open) + " attempts.");
-  Links.finish(FinishWait);
+  Links.finish(FlushTimeout);
   return Open == 0;
 }
 
--- a/packages/agent/src/agent_shell.h
+++ b/packages/agent/src/agent_shell.h
@@ -1,4 +1,4 @@
-/** @file agent_shell.h The agent program: threads around its decisions. */
+/** @file agent_shell.h Runtime of an agent: threads, links, back end calls. */
 
 #ifndef JACINTHPOND_AGENT_AGENT_SHELL_H
 #define JACINTHPOND_AGENT_AGENT_SHELL_H
@@ -28,92 +28,118 @@
 
 namespace jacinthpond {
 
-/** What an agent stands beside; null where the host has none. */
+/** The back ends of one agent; null where its host has none. */
 struct BackEnds {
   EnginePort *Engine = nullptr;   ///< Model engine.
   ServicePort *Service = nullptr; ///< Plain service.
   OriginPort *Origin = nullptr;   ///< Origin of weights.
 };
 
-/** State, control thread, links and back end threads of one agent. */
+/**
+ * Runtime of one agent. The control thread feeds events into the agent's state
+ * and performs the effects that follow; calls that block run on other threads.
+ */
 class AgentShell {
 public:
   /**
-   * Sets up; nothing runs yet.
+   * Creates the state; no thread runs before start().
    * @param Config Settings of the process.
-   * @param Beside The back ends; they outlive the shell.
+   * @param Ports The back ends; they must outlive the shell.
    */
-  AgentShell(const Settings &Config, const BackEnds &Beside);
-  /** Ends all threads. */
+  AgentShell(const Settings &Config, const BackEnds &Ports);
+  /** Stops and joins all threads. */
   ~AgentShell();
   AgentShell(const AgentShell &) = delete;
   AgentShell &operator=(const AgentShell &) = delete;
 
   /**
    * Listens for peers and starts the threads.
-   * @return The peer address in use; empty when it cannot be had.
+   * @return The peer address in use; empty when listening failed.
    */
   std::string start();
 
   /**
-   * Reads the state on the control thread.
-   * @param Look Gets the state and the time.
+   * Runs a function on the control thread and waits until it returns.
+   * @param Read Gets the state and the time.
    */
-  void inspect(const std::function<void(const AgentState &, TimePoint)> &Look);
+  void inspect(const std::function<void(const AgentState &, TimePoint)> &Read);
 
   /**
-   * Gives the histograms of waiting times.
-   * @return The histograms.
+   * Histograms of waiting times, by workspace and class.
+   * @return The histograms, which may be read from any thread.
    */
   TrafficMetrics &timings() { return Timings; }
 
   /**
-   * Ends gracefully: refuses new work, waits for that in progress.
-   * @return False when the time limit cut off work.
+   * Shuts down gracefully: refuses new attempts and waits for open ones, up to
+   * the shutdown time of the settings.
+   * @return False when open attempts were cut off.
    */
   bool drain();
 
 private:
+  /** Runs a function on the control thread and performs its effects. */
   void post(std::function<void(TimePoint, Effects &)> Work);
+  /** Carries out effects, those that block on other threads. */
   void perform(Effects Todo);
-  Result<void> refuseAfterPause(TimePoint Decided) const;
+  /** Fails when the process was paused since a back end call was decided. */
+  Result<void> failAfterPause(TimePoint Decided) const;
+  /** Runs a request in the model engine and posts its tokens and its end. */
   void runModel(const EngineRequest &Request, TimePoint Decided);
+  /** Calls the plain service and posts its answer. */
   void runService(const ServiceCall &Call, TimePoint Decided);
+  /** Fetches a chunk from the origin and posts it with its digest. */
   void fetchChunk(const ChunkRef &Chunk);
+  /** Reads the chunk list of a version from the origin and posts it. */
   void readChunkList(const ChunkRef &Version);
-  void readStaged(const std::vector<ChunkRef> &Chunks);
+  /** Reads back staged chunks and posts those that have the right content. */
+  void reportStagedChunks(const std::vector<ChunkRef> &Chunks);
+  /** Stages a chunk in the engine and posts whether that succeeded. */
   void stageChunk(const StageChunk &Todo);
+  /** Sends a part of a staged chunk to a peer. */
   void sendStaged(const SendStaged &Todo);
-  ChunkBytes readStagedChunk(const ChunkRef &Chunk);
-  void noteSpoilt(const Digest &Chunk);
+  /** Reads back a staged chunk; null when it is damaged or unreadable. */
+  ChunkBytes readVerifiedChunk(const ChunkRef &Chunk);
+  /** Posts that a staged chunk is damaged, so that it is fetched again. */
+  void reportDamagedChunk(const Digest &Chunk);
+  /** Stages a chunk before a load order, or verifies the one already staged. */
   Result<void> prepareChunk(const ChunkRef &Chunk, const ChunkBytes &Bytes);
+  /** Verifies after a load order that the staged set is the one ordered. */
   Result<void> confirmStaged(const LoadOrder &Order);
-  void takeChunk(LinkId Link, ChunkData Data);
-  void loadWeights(const LoadWeights &Load, uint64_t Before);
-  void watchBackEnd();
-  bool cancelled(const AttemptId &Which);
-  void noteStart(const AttemptId &Which);
+  /** Posts a chunk, or a part of one, that a peer has sent. */
+  void receiveChunkData(LinkId Link, ChunkData Data);
+  /** Has the engine load a set and posts the result. */
+  void loadWeights(const LoadWeights &Load, uint64_t PausesBefore);
+  /** Loop of the poll thread: reads the back end's state and posts it. */
+  void pollBackEnd();
+  /** Whether an attempt that runs in the engine was cancelled. */
+  bool isCancelled(const AttemptId &Which);
+  /** Records how long an attempt was queued before its back end call. */
+  void recordQueueTime(const AttemptId &Which);
 
   RuntimeClock Clock;
   ControlLoop Loop;
   PauseWatch Pauses;
-  AgentState State; ///< Belongs to the control thread.
-  BackEnds Beside;
+  AgentState State; ///< Modified by the control thread only.
+  BackEnds Ports;
   TrafficMetrics Timings;
   std::atomic<bool> Ending{false};
-  std::mutex WatchGuard;            ///< Guards OrdersEnded.
-  std::condition_variable WatchNow; ///< A load order ended.
-  uint64_t OrdersEnded = 0;         ///< Load orders that ended.
-  std::mutex StagedGuard;           ///< Guards RecentlyRead.
-  std::mutex LoadGuard; ///< No chunk is staged between check and load.
-  std::deque<std::pair<Digest, ChunkBytes>> RecentlyRead; ///< Oldest first.
-  std::mutex CancelGuard;                                 ///< Guards Cancelled.
-  std::set<AttemptId> Cancelled;                ///< Runs that are to end early.
-  std::unique_ptr<httplib::ThreadPool> Runners; ///< Back end calls.
-  std::unique_ptr<httplib::ThreadPool> Fetchers; ///< Weights.
+  std::mutex PollGuard;            ///< Guards OrdersEnded.
+  std::condition_variable PollNow; ///< Signalled when a load order ends.
+  uint64_t OrdersEnded = 0;        ///< Number of load orders that ended.
+  std::mutex StagedGuard;          ///< Guards RecentlyRead.
+  /** Held from the verification of the staged chunks before a load order to the
+   * one after it, so that no chunk is staged in between. */
+  std::mutex LoadGuard;
+  std::deque<std::pair<Digest, ChunkBytes>>
+      RecentlyRead;              ///< Staged chunks, oldest first.
+  std::mutex CancelGuard;        ///< Guards Cancelled.
+  std::set<AttemptId> Cancelled; ///< Runs that must stop.
+  std::unique_ptr<httplib::ThreadPool> Runners; ///< Threads for back end calls.
+  std::unique_ptr<httplib::ThreadPool> Fetchers; ///< Threads for weights.
   PeerLinks Links;
-  std::thread Control;
-  std::thread Watcher;
+  std::thread ControlThread;
+  std::thread PollThread;
 };
 
 } // namespace jacinthpond
--- a/packages/agent/src/main.cpp
+++ b/packages/agent/src/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp Program jacinthpond-agent: the slot beside a back end. */
+/** @file main.cpp Program jacinthpond-agent: runs next to one back end. */
 
 #include "agent_admin.h"
 #include "agent_shell.h"
@@ -19,53 +19,62 @@
 
 constexpr const char *Version = "jacinthpond-agent 0.1.0";
 
-int serve(const std::string &SettingsPath) {
+/**
+ * Runs the agent until a stop signal.
+ * @return Exit code of the process.
+ */
+int runAgent(const std::string &SettingsPath) {
   const auto Config = loadSettings(SettingsPath, SettingOwner::Agent);
   if (!Config)
     return ExitInvalid;
   beginLog(Version, *Config);
   const bool OnStore = runsOnStore(*Config);
-  HttpEngine OwnEngine(Config->EngineUrl);
-  StoreEngine Worker(Config->EngineUrl);
-  EnginePort &Engine = OnStore ? static_cast<EnginePort &>(Worker) : OwnEngine;
+  HttpEngine DirectEngine(Config->EngineUrl);
+  StoreEngine WorkerEngine(Config->EngineUrl);
+  EnginePort &Engine =
+      OnStore ? static_cast<EnginePort &>(WorkerEngine) : DirectEngine;
   HttpService Service(Config->ServiceUrl);
-  HttpOrigin OwnOrigin(Config->OriginUrl);
-  StoreOrigin Listed;
-  BackEnds Beside;
-  Beside.Engine = Config->EngineUrl.empty() ? nullptr : &Engine;
-  Beside.Service = Config->ServiceUrl.empty() ? nullptr : &Service;
-  Beside.Origin = Config->OriginUrl.empty() ? nullptr : &OwnOrigin;
+  HttpOrigin SettingsOrigin(Config->OriginUrl);
+  StoreOrigin DocumentOrigin;
+  BackEnds Ports;
+  Ports.Engine = Config->EngineUrl.empty() ? nullptr : &Engine;
+  Ports.Service = Config->ServiceUrl.empty() ? nullptr : &Service;
+  Ports.Origin = Config->OriginUrl.empty() ? nullptr : &SettingsOrigin;
   if (OnStore)
-    Beside.Origin = &Listed;
-  AgentShell Host(*Config, Beside);
-  AgentAdmin Admin(*Config, Host);
-  const std::string Peers = Host.start();
-  const std::string AdminAt = Admin.start();
-  if (Peers.empty() || AdminAt.empty()) {
+    Ports.Origin = &DocumentOrigin;
+  AgentShell Agent(*Config, Ports);
+  AgentAdmin Admin(*Config, Agent);
+  const std::string PeerAddress = Agent.start();
+  const std::string AdminAddress = Admin.start();
+  if (PeerAddress.empty() || AdminAddress.empty()) {
     logLine(LogPart::Main, LogLevel::Error, "A listening address is taken.");
     return ExitFailed;
   }
-  announceReady({{"peers", Peers}, {"admin", AdminAt}});
-  // Nothing that an agent is told may change while it runs.
+  announceReady({{"peers", PeerAddress}, {"admin", AdminAddress}});
+  // No setting of an agent can change while it runs.
   waitForStop(SettingsPath, SettingOwner::Agent, [](const Settings &) {});
-  shutDown([&] { return Host.drain(); });
+  shutDown([&] { return Agent.drain(); });
   return ExitDone;
 }
 
+/**
+ * Parses the command line and does what it asks for.
+ * @return Exit code of the process.
+ */
 int parseAndRun(int Count, const char **Arguments) {
   std::string SettingsPath;
   bool PrintSettings = false;
   bool PrintVersion = false;
-  const auto Words = readCommandLine(
+  const auto Positional = readCommandLine(
       "jacinthpond-agent", "[OPTIONS]",
       {{"settings", 's', &SettingsPath, "FILE", "Settings file"},
        {"help-settings", 0, &PrintSettings, nullptr, "Describe all settings"},
        {"version", 0, &PrintVersion, nullptr, "Print the version"}},
       Count, Arguments);
-  if (!Words)
+  if (!Positional)
     return ExitUsage;
-  if (!Words->empty()) {
-    std::cerr << "jacinthpond-agent: " << Words->front()
+  if (!Positional->empty()) {
+    std::cerr << "jacinthpond-agent: " << Positional->front()
               << ": unexpected; see --help\n";
     return ExitUsage;
   }
@@ -76,7 +85,7 @@
   if (PrintVersion || PrintSettings)
     return ExitDone;
   if (!SettingsPath.empty())
-    return serve(SettingsPath);
+    return runAgent(SettingsPath);
   std::cerr << "jacinthpond-agent: --settings FILE is missing; see --help\n";
   return ExitUsage;
 }
--- a/packages/agent/src/table/agent_metric_table.h
+++ b/packages/agent/src/table/agent_metric_table.h
@@ -1,4 +1,4 @@
-/** @file table/agent_metric_table.h One row for each plain counter. */
+/** @file table/agent_metric_table.h Metric names of the agent's counters. */
 
 #ifndef JACINTHPOND_AGENT_TABLE_AGENT_METRIC_TABLE_H
 #define JACINTHPOND_AGENT_TABLE_AGENT_METRIC_TABLE_H
@@ -10,10 +10,10 @@
 
 namespace jacinthpond {
 
-/** Where a counter of the page comes from. */
+/** A counter of requests on the metrics page. */
 struct AgentCounterSpec {
   MetricSpec Spec;                  ///< Name and help.
-  uint64_t AgentCounters::*Counter; ///< The counter.
+  uint64_t AgentCounters::*Counter; ///< Member that holds its value.
 };
 
 inline const std::array AgentCounterTable = {
@@ -28,10 +28,10 @@
                      &AgentCounters::KeyRepeats},
 };
 
-/** Where a counter of the exchange of chunks comes from. */
+/** A counter of chunk transfers on the metrics page. */
 struct TransferCounterSpec {
   MetricSpec Spec;                     ///< Name and help.
-  uint64_t TransferCounters::*Counter; ///< The counter.
+  uint64_t TransferCounters::*Counter; ///< Member that holds its value.
 };
 
 inline const std::array TransferCounterTable = {
