--- a/tests/unit/store_document_test.cpp
+++ b/tests/unit/store_document_test.cpp
@@ -1,4 +1,4 @@
-/** @file store_document_test.cpp The platform's items as a document. */
+/** @file store_document_test.cpp Documents built from the platform's store. */
 // Labels: platform
 
 #include "../standin/base64.h"
@@ -17,7 +17,9 @@
 
 namespace {
 
-Json item(const std::string &Key, const std::string &Value, uint64_t Revision) {
+/** An item as the store's HTTP interface returns it. */
+Json itemJson(const std::string &Key, const std::string &Value,
+              uint64_t Revision) {
   return {{"key", Key},
           {"value", base64(Value)},
           {"revision", Revision},
@@ -25,7 +27,8 @@
           {"lease", 0}};
 }
 
-Json config() {
+/** A configuration with two routes, three services and one workspace. */
+Json configJson() {
   return Json::parse(R"({
     "version": 7,
     "routes": [
@@ -51,7 +54,9 @@
       "allowed_regions": []}]})");
 }
 
-std::string server(const std::string &At, const std::string &State = "ready") {
+/** Value of the store item of a server that has model m loaded. */
+std::string serverItem(const std::string &At,
+                       const std::string &State = "ready") {
   return Json{{"service", "llm"},
               {"address", At},
               {"zone", "z1"},
@@ -63,12 +68,14 @@
       .dump();
 }
 
-/** A store with a configuration and what else is put into it. */
+/** A store that holds configJson() and the items put into it. */
 struct Store {
-  Store() { put("op/config", config().dump()); }
+  Store() { put("op/config", configJson().dump()); }
+  /** Sets an item at a new revision. */
   void put(const std::string &Key, const std::string &Value) {
     Items.Items[Key] = {Value, ++Items.Revision};
   }
+  /** Builds the document and parses it; the test fails when it is invalid. */
   DocumentPtr document() const {
     const PlatformFacts Facts{{"z1=r", "z2=r"}, 7700};
     const auto Doc = outcomeOf([&] {
@@ -83,10 +90,10 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(TheConfigurationBecomesAValidDocument) {
-  Store One;
-  One.put("servers/i-1", server("10.0.0.1:80"));
-  One.put("op/version/m", R"({"model": "m", "version": 3})");
-  const DocumentPtr Doc = One.document();
+  Store TestStore;
+  TestStore.put("servers/i-1", serverItem("10.0.0.1:80"));
+  TestStore.put("op/version/m", R"({"model": "m", "version": 3})");
+  const DocumentPtr Doc = TestStore.document();
   BOOST_REQUIRE(Doc->Routes.size() == 2U);
   BOOST_CHECK(Doc->Routes[0].Kind == RouteKind::Stream);
   BOOST_TEST(Doc->Routes[0].Resumable);
@@ -106,43 +113,45 @@
 }
 
 BOOST_AUTO_TEST_CASE(EntriesOfOtherWritersNameNoServer) {
-  // Something else wrote below servers/: fields missing, of other types, or
-  // bytes that are no JSON. All workers were dropped together with it.
-  Store One;
-  One.put("servers/i-1", server("10.0.0.1:80"));
-  One.put("servers/i-2", "\x01\x02");
-  One.put("servers/i-3", R"({"service": 5, "address": []})");
-  One.put("servers/i-4", R"(["x"])");
-  One.put("servers/i-5", server("10.0.0.5:80", "resting"));
-  One.put("servers/i-6", R"({"service": "llm", "address": "10.0.0.6:80",
+  // Another client wrote items below servers/ that lack members, have members
+  // of other types or are not JSON. One such item made all servers be
+  // dropped.
+  Store TestStore;
+  TestStore.put("servers/i-1", serverItem("10.0.0.1:80"));
+  TestStore.put("servers/i-2", "\x01\x02");
+  TestStore.put("servers/i-3", R"({"service": 5, "address": []})");
+  TestStore.put("servers/i-4", R"(["x"])");
+  TestStore.put("servers/i-5", serverItem("10.0.0.5:80", "resting"));
+  TestStore.put("servers/i-6", R"({"service": "llm", "address": "10.0.0.6:80",
     "zone": "z1", "state": "ready", "models": [{"name": 5, "version": 1}]})");
-  One.put("servers/i-7", R"({"service": "unknown", "address": "10.0.0.7:80",
+  TestStore.put("servers/i-7",
+                R"({"service": "unknown", "address": "10.0.0.7:80",
     "zone": "z1", "state": "ready"})");
-  BOOST_TEST(One.document()->Servers.size() == 1U);
+  BOOST_TEST(TestStore.document()->Servers.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(TheNewestServerHoldsAnAddress) {
-  // A worker was started again under a new id before the entry of its former
-  // run had lapsed; half of the requests expected the run that was gone.
-  Store One;
-  Json Old = Json::parse(server("10.0.0.1:80"));
+  // A worker restarted under a new id before the item of its former incarnation
+  // had expired. Half of the requests expected the former incarnation.
+  Store TestStore;
+  Json Old = Json::parse(serverItem("10.0.0.1:80"));
   Old["born"] = 1000;
   Json New = Old;
   New["born"] = 2000;
-  One.put("servers/i-a", New.dump());
-  One.put("servers/i-b", Old.dump());
-  const DocumentPtr Doc = One.document();
+  TestStore.put("servers/i-a", New.dump());
+  TestStore.put("servers/i-b", Old.dump());
+  const DocumentPtr Doc = TestStore.document();
   BOOST_REQUIRE(Doc->Servers.size() == 1U);
   BOOST_TEST(Doc->Servers[0].Id.Value == "i-a");
 }
 
 BOOST_AUTO_TEST_CASE(ZonesAreTakenOutAndBack) {
-  Store One;
-  One.put("op/evacuate/z2", "{}");
-  One.put("op/evacuate/elsewhere", "{}");
-  BOOST_TEST(One.document()->DomainsOut.size() == 1U);
-  One.Items.Items.erase("op/evacuate/z2");
-  BOOST_TEST(One.document()->DomainsOut.empty());
+  Store TestStore;
+  TestStore.put("op/evacuate/z2", "{}");
+  TestStore.put("op/evacuate/elsewhere", "{}");
+  BOOST_TEST(TestStore.document()->DomainsOut.size() == 1U);
+  TestStore.Items.Items.erase("op/evacuate/z2");
+  BOOST_TEST(TestStore.document()->DomainsOut.empty());
 }
 
 BOOST_AUTO_TEST_CASE(NothingIsPublishedBeforeAConfiguration) {
@@ -151,26 +160,28 @@
 
 BOOST_AUTO_TEST_CASE(PagesAndChangesMakeACopy) {
   StoreItems Copy;
-  const Json First = {{"items", {item("a", "1", 4), item("b", "2", 5)}},
+  const Json First = {{"items", {itemJson("a", "1", 4), itemJson("b", "2", 5)}},
                       {"truncated", true},
                       {"store_revision", 10}};
-  const auto Page = outcomeOf([&] { return takePage(Copy, First.dump()); });
-  BOOST_REQUIRE(Page.Value.has_value());
-  BOOST_TEST(Page.Value->More);
-  BOOST_TEST(Page.Value->LastKey == "b");
-  // A change between the pages: the second page is newer than the first.
-  const Json Second = {{"items", {item("c", "3", 12)}},
+  const auto FirstPage =
+      outcomeOf([&] { return applyPage(Copy, First.dump()); });
+  BOOST_REQUIRE(FirstPage.Value.has_value());
+  BOOST_TEST(FirstPage.Value->More);
+  BOOST_TEST(FirstPage.Value->LastKey == "b");
+  // The store changed between the pages: the second one has a newer revision.
+  const Json Second = {{"items", {itemJson("c", "3", 12)}},
                        {"truncated", false},
                        {"store_revision", 12}};
-  BOOST_REQUIRE(outcomeOf([&] { return takePage(Copy, Second.dump()); }).Value);
+  BOOST_REQUIRE(
+      outcomeOf([&] { return applyPage(Copy, Second.dump()); }).Value);
   BOOST_TEST(Copy.Revision == 10U);
   const Json Changes = {
       {"events",
-       {item("c", "old", 11),
+       {itemJson("c", "old", 11),
         Json{{"key", "a"}, {"revision", 13}, {"removed", true}}}},
       {"store_revision", 13}};
   const auto Changed =
-      outcomeOf([&] { return takeChanges(Copy, Changes.dump()); });
+      outcomeOf([&] { return applyChanges(Copy, Changes.dump()); });
   BOOST_REQUIRE(Changed.Value.has_value());
   BOOST_TEST(*Changed.Value);
   BOOST_TEST(Copy.Items.size() == 2U);
@@ -180,20 +191,20 @@
 
 BOOST_AUTO_TEST_CASE(AnswersThatAreCutChangeNothing) {
   StoreItems Copy;
-  BOOST_TEST(!outcomeOf([&] { return takePage(Copy, "{\"ite"); }).Value);
-  BOOST_TEST(!outcomeOf([&] { return takeChanges(Copy, "{}"); }).Value);
+  BOOST_TEST(!outcomeOf([&] { return applyPage(Copy, "{\"ite"); }).Value);
+  BOOST_TEST(!outcomeOf([&] { return applyChanges(Copy, "{}"); }).Value);
   BOOST_TEST(Copy.Items.empty());
 }
 
 BOOST_AUTO_TEST_CASE(AStateThatHoldsAgainIsOfferedAgain) {
-  // The store came back without the entries of servers that had lapsed, and had
-  // them again a second later. One reader told the fleet of the list without
-  // servers; the other one had passed that over, took the whole list for the
-  // old one that it had brought before, and offered nothing: no server was used
-  // until something else changed.
-  Store One;
-  One.put("servers/a", server("10.0.0.1:80"));
-  const std::string Whole = documentOf(One.Items, {});
+  // After a store outage the items of the servers had expired, and were written
+  // again a second later. One entry published the document without
+  // servers. Another one skipped that state, took the full list for the one it
+  // had offered before and offered nothing, so no server was used until the
+  // next change of the store.
+  Store TestStore;
+  TestStore.put("servers/a", serverItem("10.0.0.1:80"));
+  const std::string Whole = documentOf(TestStore.Items, {});
   LastPublished Last;
   BOOST_TEST(documentToOffer(Last, Whole, 7, {}, {}) == withVersion(Whole, 7));
   const std::string Empty = documentOf(Store().Items, {});
@@ -206,9 +217,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(TheSameDocumentIsNotOfferedTwice) {
-  // Changes that make no other document are read at different revisions; two
-  // readers that each took the other's version for news would spread the same
-  // document for ever.
+  // Two entries read changes that do not affect the document, at different
+  // revisions. If each took the other's version for a newer document, they
+  // would publish the same document for ever.
   const std::string Doc = documentOf(Store().Items, {});
   LastPublished Last;
   documentToOffer(Last, Doc, 7, {}, {});
