--- a/packages/agent/src/agent_shell.cpp
+++ b/packages/agent/src/agent_shell.cpp
@@ -487,8 +487,8 @@
 }
 
 void AgentShell::inspect(
-    const std::function<void(const AgentState &, TimePoint)> &Read) {
-  Loop.postAndWait([&](TimePoint Now) { Read(State, Now); });
+    const std::function<void(const AgentState &, TimePoint)> &Visit) {
+  Loop.postAndWait([&](TimePoint Now) { Visit(State, Now); });
 }
 
 bool AgentShell::drain() {
--- a/packages/agent/src/agent_shell.h
+++ b/packages/agent/src/agent_shell.h
@@ -60,9 +60,9 @@
 
   /**
    * Runs a function on the control thread and waits until it returns.
-   * @param Read Gets the state and the time.
+   * @param Visit Gets the state and the time.
    */
-  void inspect(const std::function<void(const AgentState &, TimePoint)> &Read);
+  void inspect(const std::function<void(const AgentState &, TimePoint)> &Visit);
 
   /**
    * Histograms of waiting times, by workspace and class.
--- a/packages/agent/src/main.cpp
+++ b/packages/agent/src/main.cpp
@@ -42,9 +42,9 @@
   Ports.Origin = Config->OriginUrl.empty() ? nullptr : &SettingsOrigin;
   if (OnStore)
     Ports.Origin = &DocumentOrigin;
-  AgentShell Agent(*Config, Ports);
-  AgentAdmin Admin(*Config, Agent);
-  const std::string PeerAddress = Agent.start();
+  AgentShell Shell(*Config, Ports);
+  AgentAdmin Admin(*Config, Shell);
+  const std::string PeerAddress = Shell.start();
   const std::string AdminAddress = Admin.start();
   if (PeerAddress.empty() || AdminAddress.empty()) {
     logLine(LogPart::Main, LogLevel::Error, "A listening address is taken.");
@@ -53,7 +53,7 @@
   announceReady({{"peers", PeerAddress}, {"admin", AdminAddress}});
   // No setting of an agent can change while it runs.
   waitForStop(SettingsPath, SettingOwner::Agent, [](const Settings &) {});
-  shutDown([&] { return Agent.drain(); });
+  shutDown([&] { return Shell.drain(); });
   return ExitDone;
 }
 
