--- a/packages/core/src/base/address.cpp
+++ b/packages/core/src/base/address.cpp
@@ -1,4 +1,4 @@
-/** @file address.cpp Checks addresses as they stand in texts. */
+/** @file address.cpp Checks of address syntax. */
 
 #include "base/address_func.h"
 
--- a/packages/core/src/base/address_func.h
+++ b/packages/core/src/base/address_func.h
@@ -1,4 +1,4 @@
-/** @file address_func.h Checks addresses as they stand in texts. */
+/** @file address_func.h Checks of address syntax. */
 
 #ifndef JACINTHPOND_CORE_ADDRESS_FUNC_H
 #define JACINTHPOND_CORE_ADDRESS_FUNC_H
@@ -8,17 +8,18 @@
 namespace jacinthpond {
 
 /**
- * Says whether a text is "IP:port" with an IPv4 number.
+ * Checks whether a text is "IP:port" with a numeric IPv4 address.
  * @param Text The text.
- * @param AnyPort Whether port 0 is allowed, which lets the kernel choose.
- * @return True when it is.
+ * @param AnyPort Whether port 0 is allowed, which makes the kernel choose one.
+ * @return True if the text has this form.
  */
 bool isAddress(std::string_view Text, bool AnyPort);
 
 /**
- * Says whether a text is "http://IP:port" without a path.
+ * Checks whether a text is "http://IP:port" with a numeric IPv4 address and no
+ * path.
  * @param Text The text.
- * @return True when it is.
+ * @return True if the text has this form.
  */
 bool isHttpUrl(std::string_view Text);
 
--- a/packages/core/src/base/cbor_reader.cpp
+++ b/packages/core/src/base/cbor_reader.cpp
@@ -1,4 +1,4 @@
-/** @file cbor_reader.cpp Reads CBOR that is not trusted. */
+/** @file cbor_reader.cpp Parser for untrusted CBOR. */
 
 #include "base/cbor_reader.h"
 
@@ -8,7 +8,8 @@
 
 namespace {
 
-/** The library's builder of values, ended at the first one out of bounds. */
+/** Builds a JSON value from parse events; stops at the first list that exceeds
+ * the limits, and at any map. */
 class BoundedBuilder : public nlohmann::detail::json_sax_dom_parser<Json> {
 public:
   BoundedBuilder(Json &Into, const CborLimits &Bounds)
@@ -16,8 +17,8 @@
         Limits(Bounds) {}
 
   bool start_array(size_t Size) {
-    const bool Told = Size != SIZE_MAX;
-    if (Depth >= Limits.Depth || (Told && Size > Limits.Items))
+    const bool HasLength = Size != SIZE_MAX;
+    if (Depth >= Limits.Depth || (HasLength && Size > Limits.Items))
       return false;
     ++Depth;
     return json_sax_dom_parser::start_array(Size);
@@ -32,7 +33,7 @@
 
 private:
   CborLimits Limits;
-  size_t Depth = 0; ///< Lists that are open.
+  size_t Depth = 0; ///< Number of open lists.
 };
 
 } // namespace
--- a/packages/core/src/base/cbor_reader.h
+++ b/packages/core/src/base/cbor_reader.h
@@ -1,4 +1,4 @@
-/** @file cbor_reader.h Reads CBOR that is not trusted. */
+/** @file cbor_reader.h Parser for untrusted CBOR. */
 
 #ifndef JACINTHPOND_CORE_CBOR_READER_H
 #define JACINTHPOND_CORE_CBOR_READER_H
@@ -9,20 +9,20 @@
 
 namespace jacinthpond {
 
-/** Bounds of what is read. */
+/** Limits on the structure of a CBOR value. */
 struct CborLimits {
-  size_t Depth = 1;  ///< Lists within lists, the outermost included.
-  size_t Items = 64; ///< Elements that one list may claim to have.
+  size_t Depth = 1;  ///< Maximum nesting of lists, including the outermost.
+  size_t Items = 64; ///< Maximum declared length of a list.
 };
 
 /**
- * Reads one CBOR value made of lists and plain values. The library alone is
- * no match for hostile bytes: it recurses into nested values until the stack
- * ends, and throws for a list that claims to be longer than memory though it
- * is told not to.
- * @param Bytes The whole value; maps are refused.
- * @param Limits Bounds.
- * @return The value, or a discarded one.
+ * Parses one CBOR value that consists of lists and scalars. The library alone
+ * is not safe on untrusted input: it recurses into nested values until the
+ * stack overflows, and throws for a list whose declared length exceeds memory
+ * even with exceptions turned off.
+ * @param Bytes The complete value; maps are rejected.
+ * @param Limits Limits on nesting and list lengths.
+ * @return The value, or a discarded value (`is_discarded()`) on error.
  */
 nlohmann::json readCbor(std::string_view Bytes, const CborLimits &Limits);
 
--- a/packages/core/src/base/effect_type.h
+++ b/packages/core/src/base/effect_type.h
@@ -1,7 +1,8 @@
-/** @file effect_type.h What decisions ask the outside to do.
+/** @file effect_type.h Side effects requested by the decision logic.
  *
- * Decisions are functions (state, event, now) -> effects. The shell of each
- * program carries the effects out and turns what comes of them into events.
+ * The decision logic consists of functions (state, event, now) -> effects
+ * without I/O. The shell of each program executes the effects and feeds their
+ * results back as events.
  */
 
 #ifndef JACINTHPOND_CORE_EFFECT_TYPE_H
@@ -19,116 +20,117 @@
 
 namespace jacinthpond {
 
-using CallId = NumberId<struct CallIdTag>; ///< A caller's open request.
+using CallId = NumberId<struct CallIdTag>; ///< An open request of a caller.
 
-/** Open a link to a peer. */
+/** Opens a link to a peer. */
 struct OpenLink {
-  LinkId Link; ///< Number for it.
-  Address To;  ///< Where.
+  LinkId Link; ///< Id to use for the new link.
+  Address To;  ///< Address of the peer.
 };
 
-/** Drop a link; nothing more is delivered from it. */
+/** Closes a link; no further messages from it are delivered. */
 struct CloseLink {
-  LinkId Link; ///< Which.
+  LinkId Link; ///< The link.
 };
 
-/** Send a message over a link. */
+/** Sends a message over a link. */
 struct SendMessage {
-  LinkId Link;     ///< Which link.
-  Message Content; ///< What.
+  LinkId Link;     ///< The link.
+  Message Content; ///< The message.
 };
 
-/** Give a caller one piece of its answer. */
+/** Sends a caller one part of its answer. */
 struct CallPart {
-  CallId Call;      ///< Whose.
-  std::string Data; ///< The piece.
+  CallId Call;      ///< The caller's request.
+  std::string Data; ///< The part.
 };
 
-/** Tell a caller that its answer is whole. */
+/** Completes a caller's answer. */
 struct CallEnd {
-  CallId Call;        ///< Whose.
-  int Status = 200;   ///< Status of a plain service.
-  uint64_t Count = 0; ///< Pieces of the answer.
-  Digest Content;     ///< Digest over the whole answer.
+  CallId Call;        ///< The caller's request.
+  int Status = 200;   ///< HTTP status of a service's answer.
+  uint64_t Count = 0; ///< Number of parts of the answer.
+  Digest Content;     ///< Digest of the complete answer.
   Digest Weights;     ///< Weights that produced it; empty: none.
 };
 
-/** Tell a caller that its request failed. */
+/** Answers a caller's request with an error. */
 struct CallError {
-  CallId Call;                 ///< Whose.
-  Failure Why;                 ///< Kind, detail and retry hint.
-  Ran Executed = Ran::Unknown; ///< Whether the work ran.
-  std::string Token; ///< Fresh home token for the next try; may be empty.
+  CallId Call;                 ///< The caller's request.
+  Failure Why;                 ///< Error kind, detail and retry delay.
+  Ran Executed = Ran::Unknown; ///< Whether the request was executed.
+  std::string Token; ///< New home token for the next attempt; may be empty.
   std::vector<Address> Elsewhere; ///< Entries to use instead; may be empty.
 };
 
-/** Give an attempt to the engine. */
+/** Sends an attempt to the model engine. */
 struct RunModel {
-  EngineRequest Request; ///< What to run.
+  EngineRequest Request; ///< The request.
 };
 
-/** Give an attempt to the plain service. */
+/** Sends an attempt to the plain service. */
 struct RunService {
-  ServiceCall Call; ///< What to call.
+  ServiceCall Call; ///< The call.
 };
 
-/** End an attempt at the back end where that is possible. */
+/** Cancels an attempt at the back end, where the back end can do so. */
 struct CancelRun {
-  AttemptId Attempt; ///< Which.
+  AttemptId Attempt; ///< The attempt.
 };
 
-/** Fetch a chunk of weights from the origin. */
+/** Fetches a chunk of weights from the origin. */
 struct FetchFromOrigin {
-  ChunkRef Chunk; ///< Which.
+  ChunkRef Chunk; ///< The chunk.
 };
 
-/** Read the list of a version's chunks from its origin. */
+/** Reads the chunk list of a weights version from the origin. */
 struct ReadChunkList {
-  ChunkRef Version; ///< Which version.
+  ChunkRef Version; ///< The version; the chunk itself is not used.
 };
 
-/** Look which of these chunks lie staged at the engine. */
+/** Finds out which of the given chunks are staged at the engine. */
 struct ReadStaged {
-  std::vector<ChunkRef> Chunks; ///< Candidates.
+  std::vector<ChunkRef> Chunks; ///< Chunks to look for.
 };
 
-/** A chunk of weights in memory, never changed. */
+/** Immutable content of a weights chunk in memory. */
 using ChunkBytes = std::shared_ptr<const std::string>;
 
-/** Stage one chunk at the engine, which keeps it from then on. */
+/** Stages one chunk at the engine, which stores it from then on. */
 struct StageChunk {
-  ChunkRef Chunk;   ///< Which.
-  ChunkBytes Bytes; ///< Its content, checked.
+  ChunkRef Chunk;   ///< The chunk.
+  ChunkBytes Bytes; ///< Its content; the digest has been verified.
 };
 
-/** Read a staged chunk back, check it and send it to a peer. */
+/** Reads a staged chunk back, verifies it and sends a part of it to a peer. */
 struct SendStaged {
-  LinkId Link;         ///< To whom.
-  ChunkRef Chunk;      ///< Which.
-  uint64_t Offset = 0; ///< Where the part begins.
-  uint64_t Length = 0; ///< Its length; 0: to the end of the chunk.
+  LinkId Link;         ///< Link to the peer.
+  ChunkRef Chunk;      ///< The chunk.
+  uint64_t Offset = 0; ///< Offset of the part, in bytes.
+  uint64_t Length = 0; ///< Length of the part; 0: to the end of the chunk.
 };
 
-/** Stage all chunks of a set and order the engine to load it. */
+/** Stages the chunks of a weights set and orders the engine to load it. */
 struct LoadWeights {
-  LoadOrder Order;                ///< The order.
-  std::vector<ChunkBytes> Chunks; ///< Contents, in the order's sequence; null
-                                  ///< where it lies staged at the engine.
+  LoadOrder Order;                ///< The load order.
+  std::vector<ChunkBytes> Chunks; ///< Contents, in the sequence of the order;
+                                  ///< null: staged at the engine already.
 };
 
-/** Write a log line. */
+/** Writes a log line. */
 struct LogNote {
-  LogPart Part = LogPart::Main;    ///< Which part speaks.
-  LogLevel Level = LogLevel::Info; ///< How much it matters.
-  std::string Text;                ///< A short sentence.
+  LogPart Part = LogPart::Main;    ///< Part that logs.
+  LogLevel Level = LogLevel::Info; ///< Severity.
+  std::string Text;                ///< The message.
 };
 
+/** Any effect. */
 using Effect = std::variant<OpenLink, CloseLink, SendMessage, CallPart, CallEnd,
                             CallError, RunModel, RunService, CancelRun,
                             FetchFromOrigin, ReadChunkList, ReadStaged,
                             StageChunk, SendStaged, LoadWeights, LogNote>;
 
-/** Effects in the order in which they are carried out. */
+/** Effects in the order of execution. */
 using Effects = std::vector<Effect>;
 
 } // namespace jacinthpond
--- a/packages/core/src/base/error.cpp
+++ b/packages/core/src/base/error.cpp
@@ -1,4 +1,4 @@
-/** @file error.cpp Look-ups in the error table. */
+/** @file error.cpp Error table lookups. */
 
 #include "base/error_func.h"
 
--- a/packages/core/src/base/error_func.h
+++ b/packages/core/src/base/error_func.h
@@ -1,4 +1,4 @@
-/** @file error_func.h Look-ups in the error table and use of LEAF. */
+/** @file error_func.h Error table lookups and helpers for Boost.LEAF. */
 
 #ifndef JACINTHPOND_CORE_ERROR_FUNC_H
 #define JACINTHPOND_CORE_ERROR_FUNC_H
@@ -13,49 +13,50 @@
 
 namespace jacinthpond {
 
-/** What a function that can fail returns. */
+/** Return type of functions that can fail. */
 template <typename T> using Result = boost::leaf::result<T>;
 
 /**
- * Looks up how a kind is answered.
- * @param Kind Any kind but Count.
+ * Looks up the error table row of an error kind.
+ * @param Kind Any kind except Count.
  * @return The row of the error table.
  */
 const ErrorAnswer &answerFor(ErrorKind Kind);
 
 /**
- * Names whether work ran, as in answers.
- * @param Executed The value to name.
+ * Converts a Ran value to the text used in answers.
+ * @param Executed The value.
  * @return "no", "yes" or "unknown".
  */
 std::string_view ranName(Ran Executed);
 
 /**
- * Works out when a caller may come back.
+ * Returns the retry delay for a failure.
  * @param Why The failure.
- * @return The failure's own hint, else the table's; 0: not at all.
+ * @return The delay set in the failure, else the default of the error table; 0:
+ *         do not retry.
  */
 Millis retryAfter(const Failure &Why);
 
 /**
- * Starts a LEAF error.
+ * Creates a LEAF error that carries a Failure.
  * @param Kind Row of the error table.
- * @param Detail What was found.
+ * @param Detail Description of the specific error.
  * @return An error id that converts to every Result.
  */
 inline boost::leaf::error_id fail(ErrorKind Kind, std::string Detail) {
   return boost::leaf::new_error(Failure{Kind, std::move(Detail), Millis{0}});
 }
 
-/** A value, or the failure that took its place. */
+/** A value, or the failure that prevented it. */
 template <typename T> struct Outcome {
   std::optional<T> Value; ///< Set on success.
   Failure Why;            ///< Meaningful only without a value.
 };
 
 /**
- * Runs a function and catches its LEAF error as a plain value.
- * @param Body Returns Result<T>.
+ * Calls a function and converts its LEAF result to an Outcome.
+ * @param Body Function that returns Result<T>.
  * @return The value or the failure.
  */
 template <typename Function> auto outcomeOf(Function &&Body) {
--- a/packages/core/src/base/error_type.h
+++ b/packages/core/src/base/error_type.h
@@ -1,4 +1,4 @@
-/** @file error_type.h The closed list of error kinds. */
+/** @file error_type.h All error kinds. */
 
 #ifndef JACINTHPOND_CORE_ERROR_TYPE_H
 #define JACINTHPOND_CORE_ERROR_TYPE_H
@@ -10,56 +10,56 @@
 
 namespace jacinthpond {
 
-/** Every way in which the system declines or fails a request. */
+/** Kinds of errors; one row for each in table/error_table.h. */
 enum class ErrorKind : uint8_t {
-  BadRequest,      ///< Malformed input from a caller.
-  TooLarge,        ///< Body or header above the limit.
-  SlowCaller,      ///< Input did not arrive in time.
+  BadRequest,      ///< A caller sent a malformed request.
+  TooLarge,        ///< Body or header exceeds its size limit.
+  SlowCaller,      ///< A caller sent its request too slowly.
   Unauthorized,    ///< Token missing or wrong.
-  Forbidden,       ///< Token of another team.
+  Forbidden,       ///< Token belongs to another team.
   NotFound,        ///< No such path or class.
-  Overloaded,      ///< Queue full or limit reached.
-  TenantLimit,     ///< The tenant's own share is used up.
-  RateLimited,     ///< The back end's own rate limit is reached.
-  NoWorker,        ///< No worker can take the request now.
+  Overloaded,      ///< Queue is full or a limit is reached.
+  TenantLimit,     ///< The workspace has used up its share.
+  RateLimited,     ///< The back end has reached its rate limit.
+  NoWorker,        ///< No worker can currently take the request.
   ColdStart,       ///< The back end is still warming up.
-  DomainOut,       ///< The failure domain is taken out.
+  DomainOut,       ///< The failure domain is taken out of service.
   Leaving,         ///< This process or host is shutting down.
-  Quarantined,     ///< The request killed back ends before.
+  Quarantined,     ///< The request has crashed back ends before.
   StaleView,       ///< This process is cut off from the fleet.
-  WeightsNotReady, ///< No whole, checked weights are loaded.
-  KeyConflict,     ///< Same idempotency key, other body.
-  KeyHomeWarming,  ///< The key's home cannot vouch for the key yet.
-  Deadline,        ///< Deadline passed before the request began.
+  WeightsNotReady, ///< No complete, verified weights are loaded.
+  KeyConflict,     ///< Idempotency key was used with another body.
+  KeyHomeWarming,  ///< The key's home cannot confirm its state yet.
+  Deadline,        ///< Deadline passed before the request started.
   OutcomeUnknown,  ///< The request may have run; its answer is lost.
-  PartialAnswer,   ///< The answer broke off and cannot be resumed.
+  PartialAnswer,   ///< The answer was cut off and cannot be resumed.
   BackEndFailed,   ///< The back end answered with an error.
-  InvalidDocument, ///< A published or candidate document is wrong.
-  InvalidSettings, ///< A settings file is wrong.
-  Unreachable,     ///< A peer or platform service gave no answer.
-  Malformed,       ///< A peer sent something that cannot be read.
-  Internal,        ///< A fault of the system itself.
+  InvalidDocument, ///< A published or candidate document is invalid.
+  InvalidSettings, ///< A settings file is invalid.
+  Unreachable,     ///< A peer or platform service did not answer.
+  Malformed,       ///< A peer sent a message that cannot be decoded.
+  Internal,        ///< Internal error.
   Count            ///< Number of kinds; not a kind.
 };
 
-/** Whether the work behind an error was executed. */
+/** Whether the back end executed the request. */
 enum class Ran : uint8_t { No, Yes, Unknown };
 
-/** How every kind is answered; one row for each in table/error_table.h. */
+/** One row of the error table: how an error kind is answered. */
 struct ErrorAnswer {
-  ErrorKind Kind;       ///< Which error.
+  ErrorKind Kind;       ///< Error kind of the row.
   const char *Name;     ///< Name in answers, logs and metrics.
-  int HttpStatus;       ///< Status of the answer to a caller.
-  Ran Executed;         ///< Whether the work ran.
-  int RetryAfterMillis; ///< Default hint for a retry; 0: do not retry.
-  const char *Text;     ///< Sentence for the caller.
+  int HttpStatus;       ///< HTTP status of the answer.
+  Ran Executed;         ///< Whether the request was executed.
+  int RetryAfterMillis; ///< Default retry delay; 0: do not retry.
+  const char *Text;     ///< Message for the caller.
 };
 
-/** One failure with what is particular to it; travels through LEAF. */
+/** Details of one failure; carried by LEAF errors. */
 struct Failure {
   ErrorKind Kind = ErrorKind::Internal; ///< Row of the error table.
-  std::string Detail;                   ///< What was found, for a person.
-  Millis RetryAfter{0};                 ///< 0: take the table's hint.
+  std::string Detail;                   ///< Description for people.
+  Millis RetryAfter{0};                 ///< 0: default of the error table.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/base/hash.cpp
+++ b/packages/core/src/base/hash.cpp
@@ -1,4 +1,4 @@
-/** @file hash.cpp SHA-256 by OpenSSL, rendezvous ranking by xxHash. */
+/** @file hash.cpp SHA-256 (OpenSSL) and rendezvous hashing (xxHash). */
 
 #include "base/hash_func.h"
 
--- a/packages/core/src/base/hash_func.h
+++ b/packages/core/src/base/hash_func.h
@@ -1,4 +1,4 @@
-/** @file hash_func.h SHA-256 digests and rendezvous ranking. */
+/** @file hash_func.h SHA-256 digests, checksums and rendezvous hashing. */
 
 #ifndef JACINTHPOND_CORE_HASH_FUNC_H
 #define JACINTHPOND_CORE_HASH_FUNC_H
@@ -11,34 +11,35 @@
 namespace jacinthpond {
 
 /**
- * Digests bytes.
+ * Computes the SHA-256 digest of bytes.
  * @param Bytes Any bytes.
- * @return SHA-256 as lower-case hex.
+ * @return The digest in lower-case hex.
  */
 Digest sha256(std::string_view Bytes);
 
 /**
- * Sums up bytes, to notice that they changed on their way. No protection
- * against an attacker.
+ * Computes a checksum that detects corruption in transit. It gives no
+ * protection against an attacker.
  * @param Bytes Any bytes.
  * @return 64-bit XXH3.
  */
 uint64_t checksum64(std::string_view Bytes);
 
 /**
- * Scores a candidate for a key; the highest score is the first rank. Every
- * process works out the same order alone.
- * @param Key What is to be placed.
- * @param Candidate Name of a possible place.
+ * Computes the rendezvous hashing score of a candidate for a key; the highest
+ * score is the first rank. All processes compute the same score without
+ * communicating.
+ * @param Key Key to assign.
+ * @param Candidate Name of a candidate.
  * @return The score.
  */
 uint64_t rendezvousScore(std::string_view Key, std::string_view Candidate);
 
 /**
- * Orders candidates for a key, first rank first.
- * @param Key What is to be placed.
- * @param Candidates Names of the possible places.
- * @return The same names by falling score, equal scores by name.
+ * Sorts candidates for a key by rendezvous hashing, first rank first.
+ * @param Key Key to assign.
+ * @param Candidates Names of the candidates.
+ * @return The same names by descending score, equal scores by name.
  */
 std::vector<HostName> rendezvousOrder(std::string_view Key,
                                       std::vector<HostName> Candidates);
--- a/packages/core/src/base/json_reader.cpp
+++ b/packages/core/src/base/json_reader.cpp
@@ -1,4 +1,4 @@
-/** @file json_reader.cpp Reads checked values out of JSON. */
+/** @file json_reader.cpp Reads and validates values of JSON objects. */
 
 #include "base/json_reader.h"
 
@@ -15,23 +15,26 @@
 
 namespace {
 
-/** Longest excerpt of a wrong value that a fault repeats, in bytes. */
+/** Longest excerpt of an invalid value that an error quotes, in bytes. */
 constexpr size_t MaxExcerpt = 60;
-/** Largest edit distance at which a name counts as mistyped. */
+/** Largest edit distance at which a known name is suggested. */
 constexpr size_t MaxTypingErrors = 3;
-/** Longest text that a member may hold, in bytes. */
+/** Longest text value, in bytes. */
 constexpr size_t MaxTextBytes = 256;
-/** Deepest nesting of lists and objects; the library's printing recurses. */
+/** Maximum nesting of lists and objects: the library prints values
+ * recursively, which would overflow the stack. */
 constexpr int MaxDepth = 32;
 constexpr size_t DigestHexDigits = 64;
 
-/** A line feed or escape in a name would spoil logs and tables. */
-bool isPlain(const std::string &Text) {
+/** Checks that a text is short enough and has no control characters, which
+ * would corrupt logs and tables. */
+bool isSafeText(const std::string &Text) {
   return Text.size() <= MaxTextBytes &&
          std::ranges::none_of(Text,
                               [](unsigned char c) { return std::iscntrl(c); });
 }
 
+/** Formats a value as JSON, cut to MaxExcerpt bytes. */
 std::string excerpt(const Json &Value) {
   std::string Text = Value.dump(-1, ' ', false, Json::error_handler_t::replace);
   if (Text.size() > MaxExcerpt)
@@ -39,6 +42,7 @@
   return Text;
 }
 
+/** Computes the Levenshtein distance of two texts. */
 size_t editDistance(std::string_view A, std::string_view B) {
   std::vector<size_t> Row(B.size() + 1);
   std::iota(Row.begin(), Row.end(), size_t{0});
@@ -54,24 +58,26 @@
   return Row.back();
 }
 
-/** Finds keys that stand twice in one object, of which JSON keeps one. */
-class TwinFinder {
+/** Collects keys that occur more than once in one object; the parser would keep
+ * only one of their values. */
+class DuplicateKeyFinder {
 public:
-  explicit TwinFinder(std::set<std::string> &Into) : Twins(Into) {}
+  explicit DuplicateKeyFinder(std::set<std::string> &Into) : Duplicates(Into) {}
 
-  void note(Json::parse_event_t Event, const Json &Value) {
+  /** Handles a parse event; must get all events of a text in order. */
+  void handleEvent(Json::parse_event_t Event, const Json &Value) {
     if (Event == Json::parse_event_t::object_start)
       Open.emplace_back();
     else if (Event == Json::parse_event_t::object_end)
       Open.pop_back();
     else if (Event == Json::parse_event_t::key &&
              !Open.back().insert(Value.get<std::string>()).second)
-      Twins.insert(Value.get<std::string>());
+      Duplicates.insert(Value.get<std::string>());
   }
 
 private:
-  std::set<std::string> &Twins;
-  std::vector<std::set<std::string>> Open; ///< Keys of the objects around.
+  std::set<std::string> &Duplicates;
+  std::vector<std::set<std::string>> Open; ///< Keys of each enclosing object.
 };
 
 } // namespace
@@ -89,29 +95,30 @@
 }
 
 Result<Json> parseJson(std::string_view Text, const std::string &What,
-                       ErrorKind Kind, std::set<std::string> *Twins) {
+                       ErrorKind Kind, std::set<std::string> *Duplicates) {
   bool TooDeep = false;
-  std::set<std::string> Unasked;
-  TwinFinder Finder(Twins == nullptr ? Unasked : *Twins);
-  const auto KeepShallow = [&](int Depth, Json::parse_event_t Event,
-                               Json &Value) {
+  std::set<std::string> Ignored;
+  DuplicateKeyFinder Finder(Duplicates == nullptr ? Ignored : *Duplicates);
+  const auto OnParseEvent = [&](int Depth, Json::parse_event_t Event,
+                                Json &Value) {
     TooDeep = TooDeep || Depth > MaxDepth;
-    if (Twins != nullptr && !TooDeep)
-      Finder.note(Event, Value);
+    if (Duplicates != nullptr && !TooDeep)
+      Finder.handleEvent(Event, Value);
     return !TooDeep;
   };
   try {
-    Json Value = Json::parse(Text.begin(), Text.end(), KeepShallow, true, true);
+    Json Value =
+        Json::parse(Text.begin(), Text.end(), OnParseEvent, true, true);
     if (!TooDeep)
       return Value;
     return fail(Kind, What + ": found deeper nesting than allowed: " +
                           std::to_string(MaxDepth));
-  } catch (const Json::parse_error &Fault) {
-    // The library's sentence names line and column after its own number.
-    const std::string Sentence = Fault.what();
-    const size_t At = Sentence.find("at line");
+  } catch (const Json::parse_error &Error) {
+    // The library's message has its own error number first, then "at line".
+    const std::string Message = Error.what();
+    const size_t At = Message.find("at line");
     const std::string Where =
-        At == std::string::npos ? "" : " (" + Sentence.substr(At) + ")";
+        At == std::string::npos ? "" : " (" + Message.substr(At) + ")";
     return fail(Kind, What + ": found text that is no JSON" + Where +
                           ", allowed: JSON with comments");
   }
@@ -125,9 +132,9 @@
 ObjectReader::ObjectReader(const Json &Value, std::string ObjectPath,
                            FaultList &Into)
     : Object(Value.is_object() ? &Value : nullptr), Path(std::move(ObjectPath)),
-      Faults(&Into) {
+      Errors(&Into) {
   if (Object == nullptr)
-    Faults->add(Path.empty() ? "document" : Path, excerpt(Value), "an object");
+    Errors->add(Path.empty() ? "document" : Path, excerpt(Value), "an object");
 }
 
 std::string ObjectReader::pathOf(std::string_view Key) const {
@@ -136,11 +143,11 @@
 
 void ObjectReader::fault(const char *Key, const std::string &Found,
                          const std::string &Allowed) {
-  Faults->add(pathOf(Key), Found, Allowed);
+  Errors->add(pathOf(Key), Found, Allowed);
 }
 
-const Json *ObjectReader::find(const char *Key, bool Required,
-                               const char *Allowed) {
+const Json *ObjectReader::lookUpMember(const char *Key, bool Required,
+                                       const char *Allowed) {
   Known.emplace_back(Key);
   if (Object == nullptr)
     return nullptr;
@@ -154,12 +161,12 @@
 
 std::string ObjectReader::text(const char *Key, bool Required,
                                const std::string &Default) {
-  const Json *Value = find(Key, Required, "a text");
+  const Json *Value = lookUpMember(Key, Required, "a text");
   if (Value == nullptr)
     return Default;
   if (Value->is_string() &&
       !(Required && Value->get_ref<const std::string &>().empty()) &&
-      isPlain(Value->get_ref<const std::string &>()))
+      isSafeText(Value->get_ref<const std::string &>()))
     return Value->get<std::string>();
   fault(Key, excerpt(*Value),
         std::string(Required ? "a text that is not empty" : "a text") +
@@ -169,7 +176,8 @@
 }
 
 std::string ObjectReader::digest(const char *Key) {
-  const Json *Value = find(Key, true, "a SHA-256 digest in lower-case hex");
+  const Json *Value =
+      lookUpMember(Key, true, "a SHA-256 digest in lower-case hex");
   if (Value == nullptr)
     return "";
   if (Value->is_string() && isDigest(Value->get_ref<const std::string &>()))
@@ -189,7 +197,7 @@
                              int64_t Min, int64_t Max) {
   const std::string Allowed = "a whole number from " + std::to_string(Min) +
                               " to " + std::to_string(Max);
-  const Json *Value = find(Key, Required, Allowed.c_str());
+  const Json *Value = lookUpMember(Key, Required, Allowed.c_str());
   if (Value == nullptr)
     return Default;
   const bool Fits =
@@ -204,7 +212,7 @@
 
 double ObjectReader::real(const char *Key, double Default, double Min,
                           double Max) {
-  const Json *Value = find(Key, false, "");
+  const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
     return Default;
   if (Value->is_number() && Value->get<double>() >= Min &&
@@ -216,7 +224,7 @@
 }
 
 bool ObjectReader::flag(const char *Key, bool Default) {
-  const Json *Value = find(Key, false, "");
+  const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
     return Default;
   if (Value->is_boolean())
@@ -226,7 +234,7 @@
 }
 
 const Json *ObjectReader::object(const char *Key) {
-  return find(Key, false, "");
+  return lookUpMember(Key, false, "");
 }
 
 bool ObjectReader::has(const char *Key) const {
@@ -235,7 +243,7 @@
 
 std::vector<const Json *> ObjectReader::list(const char *Key, size_t Max) {
   std::vector<const Json *> Elements;
-  const Json *Value = find(Key, false, "");
+  const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
     return Elements;
   if (!Value->is_array()) {
@@ -257,7 +265,7 @@
   std::vector<std::string> Texts;
   for (const Json *Element : list(Key)) {
     if (Element->is_string() &&
-        isPlain(Element->get_ref<const std::string &>()))
+        isSafeText(Element->get_ref<const std::string &>()))
       Texts.push_back(Element->get<std::string>());
     else
       fault(Key, excerpt(*Element), "a list of plain texts");
--- a/packages/core/src/base/json_reader.h
+++ b/packages/core/src/base/json_reader.h
@@ -1,7 +1,8 @@
-/** @file json_reader.h Reads checked values out of JSON and gathers faults.
+/** @file json_reader.h Reads and validates values of JSON objects and collects
+ * errors.
  *
- * Used by the published document and by the settings, so that both report
- * faults alike: path, what was found, what is allowed.
+ * Used for published documents and for settings, so that both report errors in
+ * the same form: path, found value, allowed values.
  */
 
 #ifndef JACINTHPOND_CORE_JSON_READER_H
@@ -20,54 +21,58 @@
 
 namespace jacinthpond {
 
-/** Gathers every fault of one text. */
+/** Collects all validation errors of one text. */
 struct FaultList {
-  std::vector<std::string> Lines; ///< One fault each.
+  std::vector<std::string> Lines; ///< One error each.
 
   /**
-   * Adds a fault.
-   * @param Path Where, as in "workers[2].agent".
-   * @param Found What stands there.
-   * @param Allowed What may stand there.
+   * Adds an error.
+   * @param Path Path of the value, such as "workers[2].agent".
+   * @param Found Description of the invalid value.
+   * @param Allowed Description of the allowed values.
    */
   void add(const std::string &Path, const std::string &Found,
            const std::string &Allowed);
 
   /**
-   * Joins the faults.
-   * @return One line for each fault.
+   * Joins the errors to one text.
+   * @return One line for each error.
    */
   std::string text() const;
 };
 
 /**
  * Parses JSON with comments.
- * @param Text Not trusted.
- * @param What Name of the text in the fault.
- * @param Kind Kind of the fault.
- * @param Twins Gets the keys that stand twice in one object, each once; null:
- *   nobody asks.
- * @return The value, or where the text is no JSON or nests too deeply.
+ * @param Text Untrusted input.
+ * @param What Name of the text in the error.
+ * @param Kind Error kind.
+ * @param Duplicates Receives each key that occurs more than once in one object;
+ *   null: duplicates are not collected.
+ * @return The value, or an error if the text is not JSON (with the position) or
+ *   its nesting is too deep.
  */
 Result<nlohmann::json> parseJson(std::string_view Text, const std::string &What,
                                  ErrorKind Kind,
-                                 std::set<std::string> *Twins = nullptr);
+                                 std::set<std::string> *Duplicates = nullptr);
 
 /**
- * Says whether a text is a SHA-256 digest.
+ * Checks whether a text is a SHA-256 digest.
  * @param Text The text.
  * @return True for 64 lower-case hex digits.
  */
 bool isDigest(std::string_view Text);
 
-/** One JSON object being read, with its path. */
+/**
+ * Reads the members of one JSON object. An invalid value adds an error and
+ * reads as the default, except for an address.
+ */
 class ObjectReader {
 public:
   /**
-   * Opens an object; anything else is a fault.
+   * Opens an object; any other value adds an error.
    * @param Value The JSON value.
-   * @param ObjectPath Its path; empty for the root.
-   * @param Into Where faults go.
+   * @param ObjectPath Path of the object; empty for the root.
+   * @param Into Receives the errors.
    */
   ObjectReader(const nlohmann::json &Value, std::string ObjectPath,
                FaultList &Into);
@@ -75,33 +80,33 @@
   /**
    * Reads a text.
    * @param Key Name of the member.
-   * @param Required Whether its absence is a fault.
-   * @param Default Value when absent.
+   * @param Required Whether absence is an error.
+   * @param Default Value if absent.
    * @return The text.
    */
   std::string text(const char *Key, bool Required,
                    const std::string &Default = "");
 
   /**
-   * Reads a SHA-256 digest. A fault never repeats what stands there: people
-   * put the token itself where its digest belongs.
-   * @param Key Name of the member; its absence is a fault.
-   * @return The digest in lower-case hex, or empty.
+   * Reads a SHA-256 digest. Errors never quote the value, since it may be a
+   * secret token that was entered in place of its digest.
+   * @param Key Name of the member; absence is an error.
+   * @return The digest in lower-case hex; empty on error.
    */
   std::string digest(const char *Key);
 
   /**
    * Reads "IP:port" with a port above 0.
-   * @param Key Name of the member; its absence is a fault.
-   * @return The address.
+   * @param Key Name of the member; absence is an error.
+   * @return The address; on error the text as given, or empty if it is no text.
    */
   std::string address(const char *Key);
 
   /**
-   * Reads a whole number.
+   * Reads an integer.
    * @param Key Name of the member.
-   * @param Required Whether its absence is a fault.
-   * @param Default Value when absent.
+   * @param Required Whether absence is an error.
+   * @param Default Value if absent.
    * @param Min Smallest value allowed.
    * @param Max Largest value allowed.
    * @return The number.
@@ -110,9 +115,9 @@
                  int64_t Max);
 
   /**
-   * Reads a fraction.
+   * Reads a floating-point number.
    * @param Key Name of the member.
-   * @param Default Value when absent.
+   * @param Default Value if absent.
    * @param Min Smallest value allowed.
    * @param Max Largest value allowed.
    * @return The number.
@@ -120,9 +125,9 @@
   double real(const char *Key, double Default, double Min, double Max);
 
   /**
-   * Reads a truth value.
+   * Reads a boolean.
    * @param Key Name of the member.
-   * @param Default Value when absent.
+   * @param Default Value if absent.
    * @return The value.
    */
   bool flag(const char *Key, bool Default);
@@ -135,7 +140,7 @@
   std::vector<std::string> texts(const char *Key);
 
   /**
-   * Gives the elements of a list.
+   * Returns the elements of a list.
    * @param Key Name of the member; absent means empty.
    * @param Max Longest list allowed.
    * @return The elements, pointers into the JSON value.
@@ -144,59 +149,62 @@
                                            size_t Max = SIZE_MAX);
 
   /**
-   * Gives a member that is an object.
+   * Returns the value of a member, of any type, for an ObjectReader of its own.
    * @param Key Name of the member.
-   * @return Pointer into the JSON value; null when absent.
+   * @return Pointer into the JSON value; null if absent.
    */
   const nlohmann::json *object(const char *Key);
 
   /**
-   * Says whether a member is there.
+   * Checks whether a member exists, with any value.
    * @param Key Name of the member.
-   * @return True when it stands in the object, whatever it holds.
+   * @return True if it exists.
    */
   bool has(const char *Key) const;
 
   /**
-   * Gives where faults go, for readers of members.
-   * @return The list.
+   * Returns the error list, for readers of nested objects.
+   * @return The error list.
    */
-  FaultList &faults() { return *Faults; }
+  FaultList &faults() { return *Errors; }
 
-  /** Reports every member that was not asked for, with the nearest known. */
+  /** Adds an error for each member that has not been read, with the most
+   * similar known name. */
   void refuseUnknown();
 
   /**
-   * Adds a fault of a member.
+   * Adds an error for a member.
    * @param Key Name of the member.
-   * @param Found What stands there.
-   * @param Allowed What may stand there.
+   * @param Found Description of the invalid value.
+   * @param Allowed Description of the allowed values.
    */
   void fault(const char *Key, const std::string &Found,
              const std::string &Allowed);
 
   /**
-   * Gives the path of a member.
+   * Returns the path of a member.
    * @param Key Name of the member.
-   * @return Path from the root.
+   * @return Path from the root, such as "workers[2].agent".
    */
   std::string pathOf(std::string_view Key) const;
 
 private:
-  const nlohmann::json *find(const char *Key, bool Required,
-                             const char *Allowed);
+  /** Looks up a member and marks its name as known; adds an error if it is
+   * required and absent. */
+  const nlohmann::json *lookUpMember(const char *Key, bool Required,
+                                     const char *Allowed);
 
-  const nlohmann::json *Object;   ///< Null when the value is no object.
+  const nlohmann::json *Object;   ///< Null if the value is not an object.
   std::string Path;               ///< Path of the object.
-  FaultList *Faults;              ///< Where faults go.
-  std::vector<std::string> Known; ///< Members asked for so far.
+  FaultList *Errors;              ///< Receives the errors.
+  std::vector<std::string> Known; ///< Names of the members read so far.
 };
 
 /**
- * Finds the name nearest to a mistyped one.
- * @param Wrong What was written.
- * @param Names What may be written.
- * @return The nearest name, or empty when none is near.
+ * Finds the known name most similar to a mistyped one.
+ * @param Wrong The mistyped name.
+ * @param Names The known names.
+ * @return The name with the smallest edit distance; empty if none is similar.
  */
 std::string nearestName(std::string_view Wrong,
                         const std::vector<std::string> &Names);
--- a/packages/core/src/base/log_type.h
+++ b/packages/core/src/base/log_type.h
@@ -1,4 +1,4 @@
-/** @file log_type.h Parts and levels of log lines. */
+/** @file log_type.h Parts and severity levels of log lines. */
 
 #ifndef JACINTHPOND_CORE_LOG_TYPE_H
 #define JACINTHPOND_CORE_LOG_TYPE_H
@@ -7,11 +7,11 @@
 
 namespace jacinthpond {
 
-/** Parts of a process; each has its own prefix. */
+/** Part of a process; each logs with its own prefix. */
 enum class LogPart : uint8_t {
-  Main,      ///< Start and shutdown.
-  Config,    ///< Configuration.
-  Links,     ///< Links and membership.
+  Main,      ///< Startup and shutdown.
+  Config,    ///< Configuration documents.
+  Links,     ///< Links and fleet membership.
   Requests,  ///< Requests and attempts.
   Weights,   ///< Weights and load orders.
   Admin,     ///< Administration API.
@@ -19,7 +19,7 @@
   Count      ///< Number of parts; not a part.
 };
 
-/** How much a line matters. */
+/** Severity of a log line. */
 enum class LogLevel : uint8_t { Debug, Info, Warn, Error };
 
 } // namespace jacinthpond
--- a/packages/core/src/base/random_func.h
+++ b/packages/core/src/base/random_func.h
@@ -1,7 +1,7 @@
-/** @file random_func.h A small generator for breaking ties.
+/** @file random_func.h Pseudorandom number generator for breaking ties.
  *
- * The state is a plain number that its owner seeds, so that decisions stay
- * functions of their state and tests repeat.
+ * The caller owns and seeds the state, so that decisions depend only on their
+ * state and tests are reproducible.
  */
 
 #ifndef JACINTHPOND_CORE_RANDOM_FUNC_H
@@ -12,8 +12,8 @@
 namespace jacinthpond {
 
 /**
- * Gives the next number (xorshift64).
- * @param State State to change; never 0.
+ * Generates the next number with xorshift64.
+ * @param State Generator state, updated; must not be 0.
  * @return The number.
  */
 inline uint64_t nextRandom(uint64_t &State) {
--- a/packages/core/src/base/rate_limit.cpp
+++ b/packages/core/src/base/rate_limit.cpp
@@ -1,4 +1,4 @@
-/** @file rate_limit.cpp A token bucket. */
+/** @file rate_limit.cpp Token bucket rate limiter. */
 
 #include "base/rate_limit_func.h"
 
@@ -8,13 +8,14 @@
 
 namespace {
 
-/** Part of the rate that live traffic cannot take. */
-constexpr double LeastShare = 0.1;
-/** Time over which live traffic is measured. */
+/** Share of the rate that live traffic cannot use up. */
+constexpr double MinShare = 0.1;
+/** Length of the window that measures live traffic. */
 constexpr Millis LiveWindow{250};
 
-/** Closes the window of live traffic when it has lasted long enough. */
-void measureLive(RateLimit &Limit, TimePoint Now) {
+/** Updates the rate of live traffic and starts a new window, once the present
+ * window is over. */
+void updateLiveRate(RateLimit &Limit, TimePoint Now) {
   const Duration Passed = Now - Limit.LiveSince;
   if (Passed < LiveWindow)
     return;
@@ -29,12 +30,12 @@
 bool rateAllows(RateLimit &Limit, TimePoint Now) {
   if (Limit.PerSecond <= 0)
     return true;
-  measureLive(Limit, Now);
+  updateLiveRate(Limit, Now);
   const double Rate =
-      std::max(Limit.PerSecond * LeastShare,
+      std::max(Limit.PerSecond * MinShare,
                Limit.PerSecond - static_cast<double>(Limit.LiveRate));
-  const std::chrono::duration<double> Passed = Now - Limit.Filled;
-  Limit.Filled = Now;
+  const std::chrono::duration<double> Passed = Now - Limit.RefilledAt;
+  Limit.RefilledAt = Now;
   Limit.Tokens =
       std::min(Limit.Tokens + Rate * Passed.count(), Rate * Limit.BurstSeconds);
   return Limit.Tokens >= 0;
@@ -49,12 +50,13 @@
   if (Limit.PerSecond <= 0 || Limit.Tokens >= 0)
     return Duration{0};
   const std::chrono::duration<double> Debt(-Limit.Tokens / Limit.PerSecond);
-  const auto Due = Limit.Filled + std::chrono::duration_cast<Duration>(Debt);
+  const auto Due =
+      Limit.RefilledAt + std::chrono::duration_cast<Duration>(Debt);
   return std::max(Due - Now, Duration{0});
 }
 
 void rateYield(RateLimit &Limit, uint64_t Bytes, TimePoint Now) {
-  measureLive(Limit, Now);
+  updateLiveRate(Limit, Now);
   Limit.LiveBytes += Bytes;
 }
 
--- a/packages/core/src/base/rate_limit_func.h
+++ b/packages/core/src/base/rate_limit_func.h
@@ -1,4 +1,4 @@
-/** @file rate_limit_func.h A token bucket. */
+/** @file rate_limit_func.h Token bucket rate limiter. */
 
 #ifndef JACINTHPOND_CORE_RATE_LIMIT_FUNC_H
 #define JACINTHPOND_CORE_RATE_LIMIT_FUNC_H
@@ -8,34 +8,34 @@
 namespace jacinthpond {
 
 /**
- * Says whether something may be sent now. The limit lets a whole unit go as
- * soon as there is no debt, so that units larger than the burst pass too.
- * @param Limit State to change: tokens are added for the time that passed.
+ * Refills the bucket and checks whether a send is allowed. Any size is allowed
+ * while the bucket has no debt, so that units larger than the burst pass too.
+ * @param Limit State, updated.
  * @param Now Current time.
- * @return True when there is no debt.
+ * @return True if there is no debt, or no limit.
  */
 bool rateAllows(RateLimit &Limit, TimePoint Now);
 
 /**
- * Counts units that were sent.
- * @param Limit State to change.
- * @param Units How many; below 0: so many were not sent after all.
+ * Takes tokens for units that were sent.
+ * @param Limit State, updated.
+ * @param Units Number of units; negative: refund of units that were not sent.
  */
 void rateSpend(RateLimit &Limit, double Units);
 
 /**
- * Gives how long a debt lasts, without live traffic.
+ * Returns the time until the debt is paid off, live traffic not considered.
  * @param Limit The state.
  * @param Now Current time.
- * @return Time until something may be sent; 0: now.
+ * @return Time until the next send is allowed; 0: now.
  */
 Duration rateWait(const RateLimit &Limit, TimePoint Now);
 
 /**
- * Counts live traffic on the same link. It goes first: what it takes is taken
- * off the rate, down to a small rest, so that the limited flow cannot starve.
- * @param Limit State to change.
- * @param Bytes How many.
+ * Counts live traffic on the same link. It has priority: its rate is subtracted
+ * from the limit, down to a minimum that keeps the limited flow from starving.
+ * @param Limit State, updated.
+ * @param Bytes Live traffic sent, in bytes.
  * @param Now Current time.
  */
 void rateYield(RateLimit &Limit, uint64_t Bytes, TimePoint Now);
--- a/packages/core/src/base/rate_limit_type.h
+++ b/packages/core/src/base/rate_limit_type.h
@@ -1,4 +1,4 @@
-/** @file rate_limit_type.h A token bucket. */
+/** @file rate_limit_type.h Token bucket rate limiter. */
 
 #ifndef JACINTHPOND_CORE_RATE_LIMIT_TYPE_H
 #define JACINTHPOND_CORE_RATE_LIMIT_TYPE_H
@@ -9,15 +9,16 @@
 
 namespace jacinthpond {
 
-/** Limits a flow of units, such as bytes or requests, to a mean rate. */
+/** Limits a flow of units, such as bytes or requests, to an average rate. */
 struct RateLimit {
-  /** Idle time that is made up for; longer than the period of decisions. */
+  /** Size of the bucket, as time at the full rate; must exceed the period at
+   * which the limit is checked. */
   double BurstSeconds = 0.1;
-  double PerSecond = 0;   ///< Units a second; 0: unlimited.
-  double Tokens = 0;      ///< Units that may go now; below 0: a debt.
-  TimePoint Filled;       ///< When Tokens was brought up to date.
-  uint64_t LiveBytes = 0; ///< Live traffic in the present window.
-  uint64_t LiveRate = 0;  ///< Its bytes a second in the last window.
+  double PerSecond = 0;   ///< Rate in units/s; 0: unlimited.
+  double Tokens = 0;      ///< Units that may be sent; negative: debt.
+  TimePoint RefilledAt;   ///< When Tokens was last refilled.
+  uint64_t LiveBytes = 0; ///< Bytes of live traffic in the present window.
+  uint64_t LiveRate = 0;  ///< Live traffic in the last window, in bytes/s.
   TimePoint LiveSince;    ///< Start of the present window.
 };
 
--- a/packages/core/src/base/time_type.h
+++ b/packages/core/src/base/time_type.h
@@ -1,4 +1,4 @@
-/** @file time_type.h Units of time used by all decisions. */
+/** @file time_type.h Time types of the decision logic. */
 
 #ifndef JACINTHPOND_CORE_TIME_TYPE_H
 #define JACINTHPOND_CORE_TIME_TYPE_H
@@ -8,16 +8,16 @@
 namespace jacinthpond {
 
 /**
- * A point on the clock of one process, which never goes back; never sent to
- * another process. The programs' clock is RuntimeClock, which also counts the
- * time for which a host is suspended: compare it with no other one.
+ * Time on the monotonic clock of one process; never sent to another process.
+ * The programs use RuntimeClock, which also counts the time while the host is
+ * suspended; do not compare its times with those of another clock.
  */
 using TimePoint = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 using Millis = std::chrono::milliseconds;
 
 /**
- * Cuts a duration to whole milliseconds.
+ * Converts a duration to whole milliseconds.
  * @param Length Any duration.
  * @return The duration in milliseconds, rounded towards zero.
  */
--- a/packages/core/src/settings/settings.cpp
+++ b/packages/core/src/settings/settings.cpp
@@ -1,4 +1,4 @@
-/** @file settings.cpp Reading and describing settings. */
+/** @file settings.cpp Parses, validates and documents settings. */
 
 #include "settings/settings_func.h"
 
@@ -20,13 +20,15 @@
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info", "warn",
                                                        "error"};
 
-/** Platforms that the programs can run on. */
+/** Values of the platform setting. */
 constexpr std::array<std::string_view, 2> PlatformNames = {"own", "store"};
 
-bool belongsTo(const SettingSpec &Spec, SettingOwner Program) {
+/** Checks whether a program reads a setting. */
+bool isReadBy(const SettingSpec &Spec, SettingOwner Program) {
   return Spec.Owner == SettingOwner::Both || Spec.Owner == Program;
 }
 
+/** Checks whether a text has the required form. */
 bool hasForm(const std::string &Text, TextForm Form) {
   switch (Form) {
   case TextForm::Free:
@@ -41,20 +43,21 @@
   return false;
 }
 
-/** Visitor that reads one setting into its member. */
+/** Visitor that reads one setting into its member of Settings. */
 struct SettingReader {
-  ObjectReader &Reader;    ///< The file.
-  const SettingSpec &Spec; ///< The row.
-  Settings &Into;          ///< Where the value goes.
+  ObjectReader &Reader;    ///< Reads the settings file.
+  const SettingSpec &Spec; ///< Table row of the setting.
+  Settings &Into;          ///< Receives the value.
 
   void operator()(std::string Settings::*Field) const {
     Into.*Field = Reader.text(Spec.Key, Spec.Required, Spec.Default);
-    checkForm(Into.*Field);
+    checkTextForm(Into.*Field);
   }
   void operator()(std::vector<std::string> Settings::*Field) const {
     Into.*Field = Reader.texts(Spec.Key);
-    std::ranges::for_each(Into.*Field,
-                          [this](const std::string &One) { checkForm(One); });
+    std::ranges::for_each(Into.*Field, [this](const std::string &Element) {
+      checkTextForm(Element);
+    });
   }
   void operator()(int64_t Settings::*Field) const {
     const int64_t Default = std::strtoll(Spec.Default, nullptr, 10);
@@ -72,21 +75,22 @@
   }
 
 private:
-  void checkForm(const std::string &Text) const {
+  /** Reports a text that lacks the required form. */
+  void checkTextForm(const std::string &Text) const {
     if (!Text.empty() && !hasForm(Text, Spec.Form))
       Reader.fault(Spec.Key, "\"" + Text + "\"",
                    std::string(Spec.Unit) + " with an IPv4 number");
   }
 };
 
-/** Reports settings that contradict each other. */
-void checkOrder(const Settings &Read, ObjectReader &Reader) {
+/** Reports pairs of settings that violate SettingOrders. */
+void checkSettingOrders(const Settings &Read, ObjectReader &Reader) {
   for (const SettingOrder &Rule : SettingOrders) {
     const int64_t Lower = Read.*Rule.Lower;
     const int64_t Upper = Read.*Rule.Upper;
     if (Lower < Upper || (Rule.MayEqual && Lower == Upper))
       continue;
-    // Settings of the other program are 0 here.
+    // Settings that only the other program reads are 0.
     if (Lower == 0 && Upper == 0)
       continue;
     Reader.fault(Rule.LowerKey, std::to_string(Lower),
@@ -95,13 +99,15 @@
   }
 }
 
-std::string rangeOf(const SettingSpec &Spec) {
+/** Formats the range of a number; empty for other types. */
+std::string rangeText(const SettingSpec &Spec) {
   if (!std::holds_alternative<int64_t Settings::*>(Spec.Field) &&
       !std::holds_alternative<double Settings::*>(Spec.Field))
     return "";
   return std::to_string(Spec.Min) + " to " + std::to_string(Spec.Max);
 }
 
+/** Returns the name of the program that reads a setting. */
 std::string ownerName(SettingOwner Owner) {
   switch (Owner) {
   case SettingOwner::Both:
@@ -114,7 +120,8 @@
   return "";
 }
 
-std::string defaultOf(const SettingSpec &Spec) {
+/** Formats the default of a setting. */
+std::string defaultText(const SettingSpec &Spec) {
   if (Spec.Required)
     return "required";
   return *Spec.Default == '\0' ? "none" : Spec.Default;
@@ -125,22 +132,22 @@
 Result<Settings> parseSettings(std::string_view Text,
                                const std::string &FileName,
                                SettingOwner Program) {
-  std::set<std::string> Twins;
-  BOOST_LEAF_AUTO(
-      Value, parseJson(Text, FileName, ErrorKind::InvalidSettings, &Twins));
+  std::set<std::string> Duplicates;
+  BOOST_LEAF_AUTO(Value, parseJson(Text, FileName, ErrorKind::InvalidSettings,
+                                   &Duplicates));
   Settings Read;
-  FaultList Faults;
-  ObjectReader Reader(Value, "", Faults);
-  for (const std::string &Key : Twins)
+  FaultList Errors;
+  ObjectReader Reader(Value, "", Errors);
+  for (const std::string &Key : Duplicates)
     Reader.fault(Key.c_str(), "the key twice", "once, as only one would count");
   for (const SettingSpec &Spec : SettingsTable)
-    if (belongsTo(Spec, Program))
+    if (isReadBy(Spec, Program))
       std::visit(SettingReader{Reader, Spec, Read}, Spec.Field);
   Reader.refuseUnknown();
   if (std::ranges::find(LogLevels, Read.LogLevel) == LogLevels.end())
     Reader.fault("log_level", "\"" + Read.LogLevel + "\"",
                  "one of debug, info, warn, error");
-  checkOrder(Read, Reader);
+  checkSettingOrders(Read, Reader);
   if (Read.LogTo != "stdout" && Read.LogTo != "stderr")
     Reader.fault("log_to", "\"" + Read.LogTo + "\"", "stdout or stderr");
   if (std::ranges::find(PlatformNames, Read.Platform) == PlatformNames.end())
@@ -149,11 +156,11 @@
       Read.EngineUrl.empty() == Read.ServiceUrl.empty())
     Reader.fault("engine_url", "both or none of engine_url and service_url",
                  "one of them");
-  if (Faults.Lines.empty())
+  if (Errors.Lines.empty())
     return Read;
-  for (std::string &Line : Faults.Lines)
+  for (std::string &Line : Errors.Lines)
     Line = FileName + ": " + Line;
-  return fail(ErrorKind::InvalidSettings, Faults.text());
+  return fail(ErrorKind::InvalidSettings, Errors.text());
 }
 
 bool runsOnStore(const Settings &Config) {
@@ -171,12 +178,12 @@
 std::string describeSettings(SettingOwner Program) {
   std::string Text;
   for (const SettingSpec &Spec : SettingsTable) {
-    if (!belongsTo(Spec, Program))
+    if (!isReadBy(Spec, Program))
       continue;
-    const std::string Range = rangeOf(Spec);
+    const std::string Range = rangeText(Spec);
     Text += std::string(Spec.Key) + " (" + Spec.Unit +
             (Range.empty() ? "" : ", " + Range) + "; default " +
-            defaultOf(Spec) + ")\n    " + Spec.Text + "\n";
+            defaultText(Spec) + ")\n    " + Spec.Text + "\n";
   }
   return Text;
 }
@@ -188,8 +195,8 @@
                      "does |\n| --- | --- | --- | --- | --- | --- |\n";
   for (const SettingSpec &Spec : SettingsTable)
     Page += "| `" + std::string(Spec.Key) + "` | " + ownerName(Spec.Owner) +
-            " | " + Spec.Unit + " | " + rangeOf(Spec) + " | " +
-            defaultOf(Spec) + " | " + Spec.Text + " |\n";
+            " | " + Spec.Unit + " | " + rangeText(Spec) + " | " +
+            defaultText(Spec) + " | " + Spec.Text + " |\n";
   return Page;
 }
 
--- a/packages/core/src/settings/settings_func.h
+++ b/packages/core/src/settings/settings_func.h
@@ -1,4 +1,4 @@
-/** @file settings_func.h Reading and describing settings. */
+/** @file settings_func.h Parses, validates and documents settings. */
 
 #ifndef JACINTHPOND_CORE_SETTINGS_FUNC_H
 #define JACINTHPOND_CORE_SETTINGS_FUNC_H
@@ -13,44 +13,45 @@
 namespace jacinthpond {
 
 /**
- * Parses and checks a settings file.
- * @param Text JSON with comments; not trusted.
- * @param FileName Name for messages.
+ * Parses and validates a settings file.
+ * @param Text JSON with comments; untrusted.
+ * @param FileName File name for error messages.
  * @param Program Entry or Agent; settings of the other are unknown keys.
- * @return The settings, or ErrorKind::InvalidSettings with all faults, one a
- *         line: file, path, what was found, what is allowed.
+ * @return The settings, or ErrorKind::InvalidSettings with all errors, one on
+ *         each line: file, path, found value, allowed values.
  */
 Result<Settings> parseSettings(std::string_view Text,
                                const std::string &FileName,
                                SettingOwner Program);
 
 /**
- * Describes all settings of a program for --help-settings.
+ * Describes all settings of a program, for --help-settings.
  * @param Program Entry or Agent.
- * @return A text, one block a setting.
+ * @return Text with one block for each setting.
  */
 std::string describeSettings(SettingOwner Program);
 
 /**
- * Describes all settings as the page docs/SETTINGS.md.
- * @return The whole page in Markdown.
+ * Generates the page docs/SETTINGS.md, which lists all settings.
+ * @return The complete page in Markdown.
  */
 std::string settingsPage();
 
 /**
- * Says whether the process runs on a platform with a key-value store that lists
- * servers, where entries send requests to back ends themselves.
+ * Checks whether the process runs on the `store` platform: a key-value store
+ * lists the servers, and entries send requests directly to back ends.
  * @param Config The settings.
- * @return False on a platform that publishes documents whole.
+ * @return False on a platform that publishes complete documents.
  */
 bool runsOnStore(const Settings &Config);
 
 /**
- * Works out how long a shutdown may wait for work in progress: as long as the
- * setting says, and no longer than the host leaves the process.
+ * Computes how long a shutdown may wait for requests in progress: shutdown_ms,
+ * but no longer than the host allows before it kills the process.
  * @param Config The settings.
- * @param ToEnd What ending takes after that.
- * @return The time; at least a quarter of what the host leaves.
+ * @param ToEnd Time needed to exit after the wait.
+ * @return The longest wait; if the host limits it, at least a quarter of
+ *         stop_grace_s, or shutdown_ms if that is shorter.
  */
 Millis shutdownTime(const Settings &Config, Millis ToEnd);
 
--- a/packages/core/src/settings/settings_type.h
+++ b/packages/core/src/settings/settings_type.h
@@ -10,7 +10,8 @@
 
 namespace jacinthpond {
 
-/** Values of all settings; table/settings_table.h describes each member. */
+/** Values of all settings; table/settings_table.h describes each member. A
+ * setting of the other program keeps the value given here. */
 struct Settings {
   std::string Name;
   std::string Domain;
@@ -64,43 +65,43 @@
   bool FifoQueue = false;
 };
 
-/** Which program a setting belongs to. */
+/** Program that reads a setting. */
 enum class SettingOwner : uint8_t { Both, Entry, Agent };
 
-/** Where a setting's value goes, which also gives its type. */
+/** Member that holds a setting; determines the type of its value. */
 using SettingField =
     std::variant<std::string Settings::*, std::vector<std::string> Settings::*,
                  int64_t Settings::*, double Settings::*, bool Settings::*>;
 
-/** What a text must look like. */
+/** Required form of a text. */
 enum class TextForm : uint8_t {
-  Free,   ///< Anything plain.
-  Listen, ///< "IP:port", port 0 lets the kernel choose.
+  Free,   ///< Any text.
+  Listen, ///< "IP:port"; port 0: the kernel chooses one.
   Peer,   ///< "IP:port" with a port above 0.
   Url     ///< "http://IP:port".
 };
 
 /** One row of the settings table. */
 struct SettingSpec {
-  const char *Key;                ///< Name in the file.
-  SettingField Field;             ///< Member that holds it.
-  SettingOwner Owner;             ///< Program that reads it.
-  bool Required;                  ///< Whether it has to be given.
-  const char *Unit;               ///< Unit, or kind of text.
-  int64_t Min;                    ///< Smallest number allowed.
-  int64_t Max;                    ///< Largest number allowed.
-  const char *Default;            ///< Default as text.
-  const char *Text;               ///< What it does.
-  TextForm Form = TextForm::Free; ///< What a text must look like.
+  const char *Key;                ///< Key in the settings file.
+  SettingField Field;             ///< Member of Settings that holds the value.
+  SettingOwner Owner;             ///< Program that reads the setting.
+  bool Required;                  ///< Whether the setting must be given.
+  const char *Unit;               ///< Unit of a number, or form of a text.
+  int64_t Min;                    ///< Minimum of a number.
+  int64_t Max;                    ///< Maximum of a number.
+  const char *Default;            ///< Default, as text.
+  const char *Text;               ///< Description for help texts.
+  TextForm Form = TextForm::Free; ///< Required form of a text.
 };
 
-/** Two settings of which one has to stay below the other. */
+/** Two settings of which one must be less than the other. */
 struct SettingOrder {
-  const char *LowerKey;     ///< Name of the lower one.
-  int64_t Settings::*Lower; ///< Member of the lower one.
-  const char *UpperKey;     ///< Name of the upper one.
-  int64_t Settings::*Upper; ///< Member of the upper one.
-  bool MayEqual;            ///< Whether both may be the same.
+  const char *LowerKey;     ///< Key of the lesser setting.
+  int64_t Settings::*Lower; ///< Member of the lesser setting.
+  const char *UpperKey;     ///< Key of the greater setting.
+  int64_t Settings::*Upper; ///< Member of the greater setting.
+  bool MayEqual;            ///< Whether both may be equal.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/table/error_table.h
+++ b/packages/core/src/table/error_table.h
@@ -9,6 +9,7 @@
 
 namespace jacinthpond {
 
+/** How each error kind is answered, indexed by ErrorKind. */
 constexpr std::array<ErrorAnswer, static_cast<size_t>(ErrorKind::Count)>
     ErrorTable = {{
         {ErrorKind::BadRequest, "bad_request", 400, Ran::No, 0,
--- a/packages/core/src/table/message_table.h
+++ b/packages/core/src/table/message_table.h
@@ -1,4 +1,5 @@
-/** @file table/message_table.h Wire name of each message, in variant order. */
+/** @file table/message_table.h Wire name of each message, in the order of
+ * Message. */
 
 #ifndef JACINTHPOND_CORE_TABLE_MESSAGE_TABLE_H
 #define JACINTHPOND_CORE_TABLE_MESSAGE_TABLE_H
@@ -10,6 +11,7 @@
 
 namespace jacinthpond {
 
+/** Wire names, indexed like the alternatives of Message. */
 constexpr std::array<std::string_view, std::variant_size_v<Message>>
     MessageNames = {"hello",   "heartbeat", "pull",   "push",   "start",
                     "begun",   "frame",     "end",    "failed", "cancel",
--- a/packages/core/src/table/route_table.h
+++ b/packages/core/src/table/route_table.h
@@ -1,4 +1,4 @@
-/** @file table/route_table.h Word of each kind of route, in enum order. */
+/** @file table/route_table.h Name of each route kind, in enum order. */
 
 #ifndef JACINTHPOND_CORE_TABLE_ROUTE_TABLE_H
 #define JACINTHPOND_CORE_TABLE_ROUTE_TABLE_H
@@ -8,7 +8,7 @@
 
 namespace jacinthpond {
 
-/** Words of RouteKind in documents. */
+/** Names of RouteKind in documents, indexed by RouteKind. */
 constexpr std::array<std::string_view, 3> RouteKindNames = {
     "idempotent", "at_most_once", "stream"};
 
--- a/packages/core/src/table/settings_table.h
+++ b/packages/core/src/table/settings_table.h
@@ -9,9 +9,10 @@
 
 namespace jacinthpond {
 
-/** Largest period or wait that a setting may hold, in milliseconds. */
+/** Maximum of settings that are a period or a wait, in milliseconds. */
 constexpr int64_t MaxSettingMillis = int64_t{3600} * 1000;
 
+/** All settings, in the order of the help text and of docs/SETTINGS.md. */
 inline const std::array SettingsTable = {
     SettingSpec{"name", &Settings::Name, SettingOwner::Both, true, "text", 0, 0,
                 "", "Published name of this host."},
@@ -188,9 +189,10 @@
                 "while that makes no progress; longer than a load takes."},
 };
 
-/** A heartbeat period above the silence would drop every link, above the time
- * of cut_off_ms it would refuse all work; a process cannot tell a pause from
- * its own period when the gap is the shorter one. */
+/** Constraints between settings. Heartbeats less often than link_silence_ms
+ * would drop every link, and less often than cut_off_ms would refuse all
+ * requests. If pause_gap_ms is shorter than the heartbeat period, a process
+ * takes its own period for a pause. */
 constexpr std::array<SettingOrder, 4> SettingOrders = {{
     {"cold_limit", &Settings::ColdLimit, "warm_limit", &Settings::WarmLimit,
      true},
--- a/packages/core/src/wire/message_fields.h
+++ b/packages/core/src/wire/message_fields.h
@@ -1,7 +1,8 @@
-/** @file message_fields.h The order on the wire of every message field.
+/** @file message_fields.h Order of the fields of each message on the wire.
  *
- * describe(v, Message) calls v(name, field) for each field. Encoder and
- * decoder are both such visitors, so that they cannot disagree.
+ * describe(v, message) calls the visitor v(name, field) for each field of the
+ * message, in wire order. Encoder and decoder are both such visitors, so that
+ * they always agree. Names and order are part of the wire format.
  */
 
 #ifndef JACINTHPOND_CORE_MESSAGE_FIELDS_H
@@ -11,6 +12,14 @@
 
 namespace jacinthpond {
 
+/**
+ * @name Field visitors, one overload for each message
+ * Calls the visitor for each field of the message, in wire order.
+ * @param v Called as v(name, field).
+ * @param m Message whose fields are encoded, or filled in by the decoder.
+ * @{
+ */
+
 template <typename V> void describe(V &v, Hello &m) {
   v("name", m.Name);
   v("role", m.Sender);
@@ -46,7 +55,7 @@
   v("across", m.BytesAcross);
 }
 
-template <typename V> void describe(V &v, LoadTold &m) {
+template <typename V> void describe(V &v, LoadReport &m) {
   v("busy", m.Busy);
   v("limit", m.Limit);
 }
@@ -210,6 +219,8 @@
   v("age", m.AgeMillis);
 }
 
+/** @} */
+
 } // namespace jacinthpond
 
 #endif
--- a/packages/core/src/wire/message_type.h
+++ b/packages/core/src/wire/message_type.h
@@ -1,9 +1,9 @@
-/** @file message_type.h Messages between the system's own processes.
+/** @file message_type.h Messages between entries and agents.
  *
- * Entries open links to agents and to each other, agents open links to each
- * other. A link carries one CBOR list for each message; message_codec turns
- * them into these structs and back. Every message has a describe() function
- * that names its fields once, for both directions.
+ * Entries open links to agents and to other entries; agents open links to other
+ * agents. Each message is sent as one CBOR list, which message_codec converts
+ * from and to these structs. Each message has one describe() function, in
+ * message_fields.h, which lists its fields for both encoding and decoding.
  */
 
 #ifndef JACINTHPOND_CORE_MESSAGE_TYPE_H
@@ -19,276 +19,283 @@
 
 namespace jacinthpond {
 
-/** What a process of the system is. */
+/** Which program a process runs. */
 enum class Role : uint8_t { Entry, Agent };
 
-/** How far a back end is from serving. */
+/** Readiness of a back end. */
 enum class WorkerState : uint8_t {
-  Empty,   ///< No whole weights, or the back end does not answer.
-  Loading, ///< Weights are being fetched or loaded.
-  Warming, ///< Serves, below its full limit.
-  Serving, ///< Serves at its full limit.
-  Leaving, ///< Finishes what it has.
+  Empty,   ///< Weights are incomplete, or the back end is down.
+  Loading, ///< Fetches or loads weights.
+  Warming, ///< Serves with a reduced concurrency limit.
+  Serving, ///< Serves with its full concurrency limit.
+  Leaving, ///< Completes its requests and takes no new ones.
 };
 
-/** First message on each link, both ways. */
+/** First message that each side sends on a link. */
 struct Hello {
   HostName Name;             ///< Published name of the sender.
-  Role Sender = Role::Entry; ///< What the sender is.
-  Incarnation Run;           ///< Changes with each start or wake-up.
-  DomainName Domain;         ///< Failure domain of the sender.
-  ConfigVersion Version;     ///< Configuration in force at the sender.
-  Digest ConfigDigest;       ///< Digest of that document.
-  bool Fresh = false;        ///< The sender trusts its view; see join_type.h.
-  Address At;                ///< Where the sender accepts links; empty: unsaid.
-  Address Callers;           ///< Where it takes callers; entries only.
+  Role Sender = Role::Entry; ///< Program of the sender.
+  Incarnation Run;       ///< Incarnation; new at each start and after a pause.
+  DomainName Domain;     ///< Failure domain of the sender.
+  ConfigVersion Version; ///< Configuration in force at the sender.
+  Digest ConfigDigest;   ///< Digest of that document.
+  bool Fresh = false;    ///< The sender's view is fresh; see join_type.h.
+  Address At;            ///< Address that accepts links; empty: not given.
+  Address Callers;       ///< Address for callers; set by entries only.
 };
 
-/** Load and state of one back end, as its agent sees it. */
+/** Load and state of one back end, reported by its agent. */
 struct WorkerLoad {
-  WorkerState State = WorkerState::Empty; ///< Distance from serving.
-  uint32_t Running = 0;                   ///< Requests in the back end.
+  WorkerState State = WorkerState::Empty; ///< Readiness.
+  uint32_t Running = 0;                   ///< Requests that the back end runs.
   uint32_t Waiting = 0;                   ///< Requests in the agent's queue.
-  uint32_t Limit = 0;                     ///< Running work allowed now.
-  std::optional<double> PerSecond;        ///< Rate limit of the back end.
-  uint64_t KeyEpoch = 0;        ///< Stretch of memory that home tokens name.
-  Digest Weights;               ///< Digest of the loaded weights.
-  uint32_t ChunksHeld = 0;      ///< Chunks of the wanted set that are here.
-  uint32_t ChunksWanted = 0;    ///< Chunks of the wanted set.
-  uint64_t BytesPerSecond = 0;  ///< Rate at which chunks arrive lately.
-  uint64_t BytesFromOrigin = 0; ///< Good chunks drawn from the origin.
-  uint64_t BytesFromPeers = 0;  ///< Good chunks from agents of the domain.
-  uint64_t BytesAcross = 0;     ///< Good chunks from other domains.
+  uint32_t Limit = 0;              ///< Current concurrency limit, in requests.
+  std::optional<double> PerSecond; ///< Rate limit, requests/s; nullopt: none.
+  uint64_t KeyEpoch = 0;       ///< Idempotency key epoch, named by home tokens.
+  Digest Weights;              ///< Digest of the loaded weights.
+  uint32_t ChunksHeld = 0;     ///< Chunks of the wanted set held by the agent.
+  uint32_t ChunksWanted = 0;   ///< Chunks of the wanted set.
+  uint64_t BytesPerSecond = 0; ///< Recent rate of chunk data received.
+  /** Bytes of verified chunks fetched from the origin. */
+  uint64_t BytesFromOrigin = 0;
+  /** Bytes of verified chunks received from agents of the same domain. */
+  uint64_t BytesFromPeers = 0;
+  /** Bytes of verified chunks received from agents of other domains. */
+  uint64_t BytesAcross = 0;
 };
 
-/** Sent both ways on each link at a fixed period. */
+/** Sent by both sides of each link at a fixed period. */
 struct Heartbeat {
-  uint64_t Sequence = 0;    ///< Rises by one on each link.
+  uint64_t Sequence = 0;    ///< Increases by one with each heartbeat of a link.
   Incarnation Run;          ///< Incarnation of the sender.
   ConfigVersion Version;    ///< Configuration in force at the sender.
   Digest ConfigDigest;      ///< Digest of that document.
-  bool Leaving = false;     ///< The sender takes no new work.
-  bool Fresh = false;       ///< The sender trusts its view; see join_type.h.
-  bool Service = false;     ///< The configuration service answers the sender.
-  bool SameDigests = false; ///< Digests are left out: as in the one before.
-  WorkerLoad Load;          ///< Meaningful from agents only.
+  bool Leaving = false;     ///< The sender takes no new requests.
+  bool Fresh = false;       ///< The sender's view is fresh; see join_type.h.
+  bool Service = false;     ///< The sender reaches the configuration service.
+  bool SameDigests = false; ///< Digests are omitted: same as in the last one.
+  WorkerLoad Load;          ///< Set by agents only.
 };
 
-/** Asks a peer for its configuration document. */
+/** Requests a peer's configuration document. */
 struct ConfigPull {
   ConfigVersion Have; ///< Version in force at the sender.
-  bool Probe = false; ///< Only asks whether the peer's view is fresh.
+  bool Probe = false; ///< Only checks whether the peer's view is fresh.
 };
 
 /** Answer to ConfigPull. */
 struct ConfigPush {
-  std::string Text;   ///< The whole document; empty: nothing newer, or a probe.
-  bool Fresh = false; ///< The sender trusts its view.
+  std::string Text;   ///< Complete document; empty: none newer, or a probe.
+  bool Fresh = false; ///< The sender's view is fresh.
 };
 
-/** Asks an agent to run one attempt. */
+/** Requests that an agent run one attempt. */
 struct AttemptStart {
-  AttemptId Attempt;            ///< Unique for ever.
-  RequestId Request;            ///< For logs on all hosts.
-  ClassName Class;              ///< Class of work.
-  TenantName Tenant;            ///< Whose request it is.
-  std::string Body;             ///< Body as the caller sent it.
-  uint64_t RemainingMillis = 0; ///< Deadline as time left at sending.
-  IdempotencyKey Key;           ///< Empty for repeatable work.
+  AttemptId Attempt;            ///< Globally unique; never reused.
+  RequestId Request;            ///< Correlates log lines across hosts.
+  ClassName Class;              ///< Class of the request.
+  TenantName Tenant;            ///< Workspace that the request belongs to.
+  std::string Body;             ///< Request body, unchanged.
+  uint64_t RemainingMillis = 0; ///< Time left until the deadline when sent.
+  IdempotencyKey Key;           ///< Idempotency key; empty: safe to repeat.
   std::string Token;            ///< Home token of the key; may be empty.
-  Digest ResumeOn;              ///< Weights that began the answer, or empty.
-  uint64_t ResumeFrom = 0;      ///< Frames that the caller already has.
-  bool Alone = false;           ///< Suspected: nothing may run beside it.
+  Digest ResumeOn;              ///< Weights required to resume; empty: any.
+  uint64_t ResumeFrom = 0; ///< Frames that the caller has received already.
+  bool Alone = false;      ///< Must run alone, as it may crash the back end.
 };
 
-/** Work at a back end, told with each answer: fresher than heartbeats. */
-struct LoadTold {
+/** Load of a back end, sent with each answer to be newer than heartbeats. */
+struct LoadReport {
   uint32_t Busy = 0;  ///< Running and waiting requests.
-  uint32_t Limit = 0; ///< Running work allowed; 0: nothing told.
+  uint32_t Limit = 0; ///< Concurrency limit; 0: no load reported.
 };
 
-/** The attempt was given to the back end. */
+/** Reports that an attempt was sent to the back end. */
 struct AttemptBegun {
-  AttemptId Attempt; ///< Which attempt.
+  AttemptId Attempt; ///< The attempt.
   Digest Weights;    ///< Weights that produce the answer; empty: none.
-  LoadTold Load{};   ///< Work at the sender.
+  LoadReport Load{}; ///< Load of the back end.
 };
 
-/** One piece of an answer. */
+/** One frame of an answer. */
 struct AnswerFrame {
-  AttemptId Attempt;     ///< Which attempt.
-  uint64_t Sequence = 0; ///< Counts from ResumeFrom.
-  std::string Data;      ///< One token, or a whole plain answer.
+  AttemptId Attempt;     ///< The attempt.
+  uint64_t Sequence = 0; ///< Position in the answer; starts at ResumeFrom.
+  std::string Data;      ///< One token, or the complete answer of a service.
 };
 
-/** Last message of an answer that is whole. */
+/** Last message of a complete answer. */
 struct AnswerEnd {
-  AttemptId Attempt;    ///< Which attempt.
-  uint64_t Count = 0;   ///< Frames of the whole answer, resumed part included.
-  Digest Content;       ///< Digest over all frames of this attempt.
-  int32_t Status = 200; ///< Status of a plain service's answer.
-  LoadTold Load{};      ///< Work at the sender.
+  AttemptId Attempt;    ///< The attempt.
+  uint64_t Count = 0;   ///< Frames of the answer, with those before ResumeFrom.
+  Digest Content;       ///< Digest of all frames of this attempt.
+  int32_t Status = 200; ///< HTTP status of a service's answer.
+  LoadReport Load{};    ///< Load of the back end.
 };
 
-/** The attempt ends without a whole answer. */
+/** Reports that an attempt ended without a complete answer. */
 struct AttemptFailed {
-  AttemptId Attempt;                    ///< Which attempt.
+  AttemptId Attempt;                    ///< The attempt.
   ErrorKind Kind = ErrorKind::Internal; ///< Row of the error table.
-  Ran Executed = Ran::Unknown;          ///< Whether the work ran.
+  Ran Executed = Ran::Unknown;          ///< Whether the back end executed it.
   std::string Detail;                   ///< For logs.
-  uint64_t RetryAfterMillis = 0;        ///< 0: the table's hint.
-  LoadTold Load{};                      ///< Work at the sender.
+  uint64_t RetryAfterMillis = 0;        ///< 0: default of the error table.
+  LoadReport Load{};                    ///< Load of the back end.
 };
 
-/** The caller gave up; the agent ends the attempt where it can. */
+/** Cancels an attempt whose caller has gone, where the back end can do so. */
 struct AttemptCancel {
-  AttemptId Attempt; ///< Which attempt.
+  AttemptId Attempt; ///< The attempt.
 };
 
-/** Asks what became of an attempt after its link was lost. */
+/** Requests the state of an attempt whose link was lost. */
 struct AttemptQuery {
-  AttemptId Attempt;      ///< Which attempt.
-  uint64_t NextFrame = 0; ///< First frame that the entry lacks.
+  AttemptId Attempt;      ///< The attempt.
+  uint64_t NextFrame = 0; ///< First frame that the entry has not received.
 };
 
-/** What an agent knows of an attempt that was asked after. */
+/** State of an attempt according to its agent. */
 enum class AttemptKnown : uint8_t { NeverSeen, Waiting, Running, Finished };
 
 /**
- * Answer to AttemptQuery. The frames that the entry lacks and, for a finished
- * one, its end are sent again after it. One that was never seen is never run
- * after this answer.
+ * Answer to AttemptQuery. The agent then resends the frames that the entry has
+ * not received and, if the attempt is finished, its end. After answering
+ * NeverSeen the agent never runs the attempt.
  */
 struct AttemptStatus {
-  AttemptId Attempt;                            ///< Which attempt.
-  AttemptKnown Known = AttemptKnown::NeverSeen; ///< What is known.
-  Incarnation Run; ///< Incarnation whose memory says so; 0: none vouches.
+  AttemptId Attempt;                            ///< The attempt.
+  AttemptKnown Known = AttemptKnown::NeverSeen; ///< State of the attempt.
+  Incarnation Run; ///< Incarnation of the agent; 0: its records of ended
+                   ///< attempts are incomplete, so NeverSeen may be wrong.
 };
 
-/** Asks a peer agent for a part of a chunk of weights. */
+/** Requests a part of a weights chunk from a peer agent. */
 struct ChunkRequest {
-  Digest Chunk;        ///< Which chunk.
-  uint64_t Offset = 0; ///< Where the part begins.
-  uint64_t Length = 0; ///< Its length; 0: to the end of the chunk.
+  Digest Chunk;        ///< Digest of the chunk.
+  uint64_t Offset = 0; ///< Offset of the part, in bytes.
+  uint64_t Length = 0; ///< Length of the part; 0: to the end of the chunk.
 };
 
-/** Answer to ChunkRequest; empty bytes: not held here. */
+/** Answer to ChunkRequest. No bytes: the sender does not hold the chunk. */
 struct ChunkData {
-  Digest Chunk;        ///< Which chunk.
-  std::string Bytes;   ///< The part, checked by the receiver when all are in.
-  uint64_t Offset = 0; ///< Where the part begins.
-  uint64_t Total = 0;  ///< Size of the whole chunk.
+  Digest Chunk;        ///< Digest of the chunk.
+  std::string Bytes;   ///< The part; the receiver verifies the complete chunk.
+  uint64_t Offset = 0; ///< Offset of the part, in bytes.
+  uint64_t Total = 0;  ///< Size of the chunk, in bytes.
 };
 
 /**
- * Tells peers which chunks of a set the sender holds, and which it brings into
- * its domain. Bit n%8 of byte n/8 stands for chunk n.
+ * Announces which chunks of a set the sender holds and which it is fetching
+ * into its domain. Bit n%8 of byte n/8 represents chunk n.
  */
 struct ChunkHave {
-  Digest Set;                  ///< Digest of the weights set.
-  std::vector<uint8_t> Held;   ///< Chunks that the sender holds.
-  std::vector<uint8_t> Coming; ///< Asked of the origin or another domain.
+  Digest Set;                ///< Digest that identifies the weights set.
+  std::vector<uint8_t> Held; ///< Bitmap of chunks that the sender holds.
+  /** Bitmap of chunks requested from the origin or from another domain. */
+  std::vector<uint8_t> Coming;
 };
 
 /**
- * Tells an agent of the own domain of what chunks a version is made, so that it
- * need not read the list from the origin.
+ * Sends the chunk list of a version to an agent of the same domain, which then
+ * need not read it from the origin.
  */
 struct ChunkListTold {
-  ModelName Model;            ///< Which model.
-  std::string Version;        ///< Which version of it.
-  uint64_t ChunkBytes = 0;    ///< Size of each chunk but the last.
-  std::vector<Digest> Chunks; ///< Its chunks, in order.
+  ModelName Model;            ///< Name of the model.
+  std::string Version;        ///< Version of the model.
+  uint64_t ChunkBytes = 0;    ///< Size of each chunk except the last.
+  std::vector<Digest> Chunks; ///< Digests of the chunks, in order.
 };
 
-/** Tells that a request was running when a back end died. */
+/** Reports a request that was running when a back end crashed. */
 struct SuspectNotice {
-  Digest Fingerprint;     ///< Digest of tenant, class and body.
-  std::string DeathId;    ///< Unique for each death, for counting once.
-  uint64_t AgeMillis = 0; ///< How long ago the death was.
-  bool Alone = false;     ///< The request ran alone: it is the cause.
-  bool Cleared = false;   ///< It ran whole since: forget its deaths.
+  Digest Fingerprint;     ///< Digest of workspace, class and body.
+  std::string DeathId;    ///< Identifies the crash, so that it counts once.
+  uint64_t AgeMillis = 0; ///< Time since the crash.
+  bool Alone = false;     ///< The request ran alone, so it caused the crash.
+  bool Cleared = false;   ///< It has completed since: discard its crashes.
 };
 
-/** Tells that a host takes no new work; sent on by whoever hears it. */
+/** Reports that a host takes no new requests; each receiver forwards it. */
 struct LeavingNotice {
-  HostName Host;          ///< Who leaves.
-  Incarnation Run;        ///< Which run of it; 0: the host, whatever runs.
-  uint64_t AgeMillis = 0; ///< How long ago that was last confirmed.
+  HostName Host;          ///< The leaving host.
+  Incarnation Run;        ///< Its incarnation; 0: all incarnations.
+  uint64_t AgeMillis = 0; ///< Time since this was last confirmed.
 };
 
 /**
- * Tells of an entry that the sender has a link to. Where the platform does not
- * list entries they find each other by this, from a few seeds.
+ * Announces an entry that the sender has a link to. Where the platform does not
+ * list entries, they discover each other by these messages, starting from the
+ * seed peers.
  */
 struct EntrySeen {
-  HostName Name;     ///< Its name.
-  DomainName Domain; ///< Its failure domain.
-  Address At;        ///< Where it accepts links.
-  Address Callers;   ///< Where it takes callers.
+  HostName Name;     ///< Name of the entry.
+  DomainName Domain; ///< Failure domain of the entry.
+  Address At;        ///< Address that accepts links.
+  Address Callers;   ///< Address for callers.
 };
 
 /**
- * Asks an agent for a place at its back end, for a request that the entry will
- * send there itself.
+ * Requests a slot from the agent of a back end, for a request that the entry
+ * then sends to the back end itself.
  */
 struct PlaceAsk {
-  AttemptId Place;         ///< Unique for ever.
-  RequestId Request;       ///< For logs on both hosts.
-  TenantName Tenant;       ///< Whose request it is.
-  uint32_t Rank = 0;       ///< Urgency; 0 is first.
-  uint64_t WaitMillis = 0; ///< Longest wait that is of use.
-  /** Time in which the first part of the answer is wanted; 0: it need not come
-   * by a set time. The agent knows how long it takes and allows for it. */
+  AttemptId Place;         ///< Globally unique; never reused.
+  RequestId Request;       ///< Correlates log lines across hosts.
+  TenantName Tenant;       ///< Workspace that the request belongs to.
+  uint32_t Rank = 0;       ///< Priority; 0 is the highest.
+  uint64_t WaitMillis = 0; ///< Maximum wait for the slot.
+  /** Time until the first part of the answer is due; 0: no limit. The agent
+   * subtracts the time that the back end usually takes for it. */
   uint64_t FirstPartMillis = 0;
-  uint32_t PromptTokens = 0; ///< What the back end reads first; 0: not known.
-  /** Refuse unless it can begin at once and no more than this is still to be
-   * read; 0: any, and it may wait. */
+  uint32_t PromptTokens = 0; ///< Length of the prompt; 0: not known.
+  /** Refuse unless the request can start at once and the prefill backlog is at
+   * most this long; 0: no limit, and the request may wait. */
   uint32_t MostReadingMillis = 0;
-  bool Spare = false; ///< Only a place that no request on time needs.
+  bool Spare = false; ///< Only take a slot that no on-time request needs.
 };
 
-/** Answer to PlaceAsk, at once or when its turn has come. */
+/** Answer to PlaceAsk, sent at once or after waiting in the queue. */
 struct PlaceAnswer {
-  AttemptId Place;                     ///< Which place.
+  AttemptId Place;                     ///< Slot from the request.
   bool Given = false;                  ///< The request may be sent now.
-  ErrorKind Why = ErrorKind::Internal; ///< Why not, when it is not given.
-  uint64_t RetryAfterMillis = 0;       ///< When there may be room.
-  uint32_t ReadingMillis = 0;          ///< Prompts given and not read yet.
-  LoadTold Load{};                     ///< Work at the sender.
+  ErrorKind Why = ErrorKind::Internal; ///< Reason of a refusal.
+  uint64_t RetryAfterMillis = 0;       ///< Time until a slot may be free.
+  uint32_t ReadingMillis = 0;          ///< Prefill backlog of the back end.
+  LoadReport Load{};                   ///< Load of the back end.
 };
 
-/** The request that had a place, or waited for one, is over. */
+/** Releases a slot, or withdraws the request for one. */
 struct PlaceDone {
-  AttemptId Place;              ///< Which place.
-  bool Whole = false;           ///< It was answered to its end.
-  bool Sent = false;            ///< It reached the back end.
-  uint64_t FirstPartMillis = 0; ///< Time from the place to the first part of
+  AttemptId Place;              ///< Slot from the request.
+  bool Whole = false;           ///< The answer is complete.
+  bool Sent = false;            ///< The request reached the back end.
+  uint64_t FirstPartMillis = 0; ///< Time from the grant to the first part of
                                 ///< the answer; 0: not known.
 };
 
 /**
- * Tells the agent of a back end, or other entries, what an answer said of the
- * rate limit that the back end sets for itself.
+ * Reports the rate limit that a back end stated in an answer, to the agent of
+ * the back end or to other entries.
  */
 struct RateHeard {
-  AttemptId Place;                 ///< Place of the request; may be empty.
-  InstanceId Server;               ///< Which back end.
-  std::optional<double> PerSecond; ///< Limit; nothing: the answer named none.
-  uint64_t AgeMillis = 0; ///< How long ago the answer came; with no limit: how
-                          ///< long ago its request was sent.
+  AttemptId Place;                 ///< Slot of the request; may be empty.
+  InstanceId Server;               ///< Back end that the limit applies to.
+  std::optional<double> PerSecond; ///< Requests/s; nullopt: none was stated.
+  uint64_t AgeMillis = 0; ///< Time since the answer arrived; without a limit:
+                          ///< since its request was sent.
 };
 
-/** Asks whether the host of an agent runs; answered at once. */
+/** Checks whether an agent's host is responsive; answered at once. */
 struct Ping {
-  uint64_t Sequence = 0; ///< Comes back with the answer.
+  uint64_t Sequence = 0; ///< Returned in the Pong.
 };
 
 /** Answer to Ping. */
 struct Pong {
-  uint64_t Sequence = 0; ///< Of the Ping.
+  uint64_t Sequence = 0; ///< Sequence of the Ping.
 };
 
+/** Any message; the order gives the index into MessageNames. */
 using Message =
     std::variant<Hello, Heartbeat, ConfigPull, ConfigPush, AttemptStart,
                  AttemptBegun, AnswerFrame, AnswerEnd, AttemptFailed,
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -1,4 +1,4 @@
-/** @file codec_test.cpp Messages survive the codec; garbage is refused. */
+/** @file codec_test.cpp Message round trips and corrupt frames. */
 
 #include "base/hash_func.h"
 #include "codec/message_codec.h"
@@ -8,7 +8,7 @@
 
 using namespace jacinthpond;
 
-BOOST_AUTO_TEST_CASE(AMessageComesBackAsItWas) {
+BOOST_AUTO_TEST_CASE(AMessageSurvivesARoundTrip) {
   AttemptStart Start;
   Start.Attempt.Value = "7-1";
   Start.Body = std::string("\0\xff body", 7);
@@ -22,9 +22,9 @@
   BOOST_TEST(Back.RemainingMillis == 1234U);
 }
 
-// Control may cost a node 15 KB a second over 77 links, two heartbeats a second
-// on each: 97 bytes are allowed for one that changes nothing.
-BOOST_AUTO_TEST_CASE(AHeartbeatThatChangesNothingIsSmall) {
+// Control traffic of a node is limited to 15 KB/s over 77 links with two
+// heartbeats per second each, which leaves 97 bytes for an unchanged heartbeat.
+BOOST_AUTO_TEST_CASE(AnUnchangedHeartbeatIsSmall) {
   Membership Sender;
   Sender.Self.Run.Value = UINT64_MAX;
   Sender.Load.Weights = sha256("weights");
@@ -47,9 +47,9 @@
   BOOST_TEST(Bytes <= 97U);
 }
 
-// A bit flips between two hosts. Without a checksum the key of a booking
-// changes, and the booking runs under a key that its caller never gave.
-BOOST_AUTO_TEST_CASE(EveryFlippedBitIsNoticed) {
+// A bit flips in transit. Without a checksum an idempotency key could change,
+// and the request would run under a key that its caller never sent.
+BOOST_AUTO_TEST_CASE(EveryFlippedBitIsDetected) {
   AttemptStart Start;
   Start.Key.Value = "slot-17";
   const std::string Whole = encodeMessage(Start);
@@ -60,7 +60,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(EveryPrefixOfAMessageIsRefused) {
+BOOST_AUTO_TEST_CASE(EveryPrefixOfAMessageIsRejected) {
   const std::string Whole = encodeMessage(Heartbeat{});
   for (size_t n = 0; n < Whole.size(); ++n) {
     const auto Read =
@@ -69,13 +69,13 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AListOfChunksComesBackAsItWas) {
-  ChunkListTold Told;
-  Told.Model.Value = "m";
-  Told.ChunkBytes = 32768;
+BOOST_AUTO_TEST_CASE(AChunkListSurvivesARoundTrip) {
+  ChunkListTold Notice;
+  Notice.Model.Value = "m";
+  Notice.ChunkBytes = 32768;
   for (int n = 0; n < 64; ++n)
-    Told.Chunks.push_back(sha256(std::to_string(n)));
+    Notice.Chunks.push_back(sha256(std::to_string(n)));
   const Message Back =
-      *outcomeOf([&] { return decodeMessage(encodeMessage(Told)); }).Value;
-  BOOST_TEST((std::get<ChunkListTold>(Back).Chunks == Told.Chunks));
+      *outcomeOf([&] { return decodeMessage(encodeMessage(Notice)); }).Value;
+  BOOST_TEST((std::get<ChunkListTold>(Back).Chunks == Notice.Chunks));
 }
--- a/tests/unit/runtime_clock_test.cpp
+++ b/tests/unit/runtime_clock_test.cpp
@@ -1,4 +1,5 @@
-/** @file runtime_clock_test.cpp Which time a process goes by. */
+/** @file runtime_clock_test.cpp RuntimeClock counts the time while a host is
+ * suspended. */
 // Labels: promise-3
 
 #include "clock/runtime_clock.h"
@@ -11,7 +12,8 @@
 
 namespace {
 
-TimePoint sinceBoot() {
+/** Reads CLOCK_BOOTTIME, which also counts suspended time. */
+TimePoint readBootClock() {
   timespec Time{};
   clock_gettime(CLOCK_BOOTTIME, &Time);
   return TimePoint(std::chrono::seconds(Time.tv_sec) +
@@ -20,13 +22,13 @@
 
 } // namespace
 
-// A host was suspended for four seconds. The steady clock of its processes did
-// not count them: nothing looked like a pause, and old weights began requests
-// for four seconds more than allowed. The time since boot does count them.
-BOOST_AUTO_TEST_CASE(TheTimeOfASuspendedHostCounts) {
+// A host was suspended for four seconds, which the steady clock does not count.
+// Its processes detected no pause and started requests on replaced weights for
+// four seconds longer than allowed. CLOCK_BOOTTIME counts suspended time.
+BOOST_AUTO_TEST_CASE(SuspendedTimeIsCounted) {
   const RuntimeClock Clock;
-  const TimePoint Before = sinceBoot();
+  const TimePoint Before = readBootClock();
   const TimePoint Now = Clock.now();
   BOOST_TEST((Before <= Now));
-  BOOST_TEST((Now <= sinceBoot()));
+  BOOST_TEST((Now <= readBootClock()));
 }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -1,4 +1,5 @@
-/** @file settings_test.cpp Settings and documents: checks, page, table. */
+/** @file settings_test.cpp Validation of settings and documents; the generated
+ * page. */
 // Labels: product
 
 #include "base/json_reader.h"
@@ -16,43 +17,48 @@
 
 namespace {
 
-/** Gives all faults of a text; empty: none. */
-std::string faultsOfAgent(const std::string &Members) {
+/** Returns the errors of agent settings with the given members; empty: valid.
+ */
+std::string agentSettingsErrors(const std::string &Members) {
   const std::string Text = R"({"name": "a", "domain": "d")" + Members + "}";
   const auto Read = outcomeOf(
       [&] { return parseSettings(Text, "f.json", SettingOwner::Agent); });
   return Read.Value ? "" : Read.Why.Detail;
 }
 
-std::string faultsOfDocument(const std::string &Members) {
+/** Returns the errors of a document with the given members; empty: valid. */
+std::string documentErrors(const std::string &Members) {
   const std::string Text = R"({"version": 1)" + Members + "}";
   const auto Read = outcomeOf([&] { return parseDocument(Text); });
   return Read.Value ? "" : Read.Why.Detail;
 }
 
+/** Members of a text, and the error that they must cause. */
 struct Case {
   std::string Members;
-  std::string Fault; ///< Part of the faults; empty: valid.
+  std::string ExpectedError; ///< Part of the errors; empty: valid.
 };
 
-void check(const std::vector<Case> &Cases,
-           std::string (*FaultsOf)(const std::string &)) {
+/** Checks that each case causes its expected error. */
+void checkCases(const std::vector<Case> &Cases,
+                std::string (*ErrorsFor)(const std::string &)) {
   for (const Case &One : Cases) {
-    const std::string Faults = FaultsOf(One.Members);
-    BOOST_TEST(Faults.empty() == One.Fault.empty(), One.Members + Faults);
-    BOOST_TEST(Faults.find(One.Fault) != std::string::npos, Faults);
+    const std::string Errors = ErrorsFor(One.Members);
+    BOOST_TEST(Errors.empty() == One.ExpectedError.empty(),
+               One.Members + Errors);
+    BOOST_TEST(Errors.find(One.ExpectedError) != std::string::npos, Errors);
   }
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(ThePageIsMadeFromTheTable) {
+BOOST_AUTO_TEST_CASE(SettingsPageMatchesTheTable) {
   std::ifstream File(JACINTHPOND_SOURCE_FOLDER "/docs/SETTINGS.md");
   const std::string Page(std::istreambuf_iterator<char>(File), {});
   BOOST_TEST(Page == settingsPage());
 }
 
-BOOST_AUTO_TEST_CASE(DefaultsLieInTheirRanges) {
+BOOST_AUTO_TEST_CASE(DefaultsAreWithinTheirRanges) {
   for (const SettingSpec &Spec : SettingsTable) {
     if (!std::holds_alternative<int64_t Settings::*>(Spec.Field))
       continue;
@@ -61,85 +67,88 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(SettingsAreChecked) {
+BOOST_AUTO_TEST_CASE(SettingsAreValidated) {
   const std::string Engine = R"(, "engine_url": "http://127.0.0.1:80")";
-  check({{Engine, ""},
-         {"", "engine_url: found both or none"},
-         {R"(, "engine_url": "127.0.0.1:80")", "f.json: engine_url: found"},
-         {R"(, "engine_url": "http://host:80")", "http://IP:port"},
-         {R"(, "engine_url": "http://127.0.0.1:80/x")", "http://IP:port"},
-         {Engine + R"(, "peer_listen": "127.0.0.1:0")", ""},
-         {Engine + R"(, "peer_listen": "127.0.0.1")", "IP:port"},
-         {Engine + R"(, "peer_listen": "127.0.0.1:65536")", "IP:port"},
-         {Engine + R"(, "cold_limit": 9, "warm_limit": 8)",
-          "cold_limit: found 9, allowed: at most warm_limit (8)"},
-         {Engine + R"(, "cold_limit": 8, "warm_limit": 8)", ""},
-         {Engine + R"(, "heartbeat_ms": 3000)",
-          "heartbeat_ms: found 3000, allowed: below link_silence_ms (2500)"},
-         {Engine + R"(, "heartbeat_ms": 3000)", "at most pause_gap_ms (2000)"},
-         {Engine + R"(, "log_level": "loud")", "one of debug"},
-         {Engine + R"(, "warm_limt": 8)", "did you mean \"warm_limit\""},
-         {Engine + R"(, "origin_url": "a\nb")", "control characters"},
-         {", oops", "line 1"}},
-        faultsOfAgent);
+  checkCases(
+      {{Engine, ""},
+       {"", "engine_url: found both or none"},
+       {R"(, "engine_url": "127.0.0.1:80")", "f.json: engine_url: found"},
+       {R"(, "engine_url": "http://host:80")", "http://IP:port"},
+       {R"(, "engine_url": "http://127.0.0.1:80/x")", "http://IP:port"},
+       {Engine + R"(, "peer_listen": "127.0.0.1:0")", ""},
+       {Engine + R"(, "peer_listen": "127.0.0.1")", "IP:port"},
+       {Engine + R"(, "peer_listen": "127.0.0.1:65536")", "IP:port"},
+       {Engine + R"(, "cold_limit": 9, "warm_limit": 8)",
+        "cold_limit: found 9, allowed: at most warm_limit (8)"},
+       {Engine + R"(, "cold_limit": 8, "warm_limit": 8)", ""},
+       {Engine + R"(, "heartbeat_ms": 3000)",
+        "heartbeat_ms: found 3000, allowed: below link_silence_ms (2500)"},
+       {Engine + R"(, "heartbeat_ms": 3000)", "at most pause_gap_ms (2000)"},
+       {Engine + R"(, "log_level": "loud")", "one of debug"},
+       {Engine + R"(, "warm_limt": 8)", "did you mean \"warm_limit\""},
+       {Engine + R"(, "origin_url": "a\nb")", "control characters"},
+       {", oops", "line 1"}},
+      agentSettingsErrors);
 }
 
-BOOST_AUTO_TEST_CASE(DocumentsAreChecked) {
+BOOST_AUTO_TEST_CASE(DocumentsAreValidated) {
   const std::string Worker =
       R"(, "workers": [{"name": "w", "domain": "d", "service": "s", "agent": )";
-  check({{Worker + R"("10.0.0.1:9"}])", ""},
-         {Worker + R"("10.0.0.1:0"}])", "workers[0].agent: found"},
-         {Worker + R"("somewhere:9"}])", "IP:port with an IPv4 number"},
-         {R"(, "tenants": [{"name": ")" + std::string(300, 'x') + R"("}])",
-          "at most 256 bytes"},
-         {R"(, "tenants": [{"name": "a\u001b[2J"}])", "control characters"},
-         {R"(, "teams": [{"name": "t", "token_sha256": "secret"}])",
-          "token_sha256: found something else"},
-         {R"(, "teams": [{"name": "t", "token_sha256": ["secret"]}])",
-          "token_sha256: found something else"},
-         {R"(, "classes": [)" +
-              [] {
-                std::string All = "{}";
-                for (int n = 0; n < 256; ++n)
-                  All += ",{}";
-                return All;
-              }() +
-              "]",
-          "classes: found 257 elements, allowed: at most 256"}},
-        faultsOfDocument);
-  BOOST_TEST(faultsOfDocument(
+  checkCases(
+      {{Worker + R"("10.0.0.1:9"}])", ""},
+       {Worker + R"("10.0.0.1:0"}])", "workers[0].agent: found"},
+       {Worker + R"("somewhere:9"}])", "IP:port with an IPv4 number"},
+       {R"(, "tenants": [{"name": ")" + std::string(300, 'x') + R"("}])",
+        "at most 256 bytes"},
+       {R"(, "tenants": [{"name": "a\u001b[2J"}])", "control characters"},
+       {R"(, "teams": [{"name": "t", "token_sha256": "secret"}])",
+        "token_sha256: found something else"},
+       {R"(, "teams": [{"name": "t", "token_sha256": ["secret"]}])",
+        "token_sha256: found something else"},
+       {R"(, "classes": [)" +
+            [] {
+              std::string All = "{}";
+              for (int n = 0; n < 256; ++n)
+                All += ",{}";
+              return All;
+            }() +
+            "]",
+        "classes: found 257 elements, allowed: at most 256"}},
+      documentErrors);
+  BOOST_TEST(documentErrors(
                  R"(, "teams": [{"name": "t", "token_sha256": ["secret"]}])")
                  .find("\"secret\"") == std::string::npos);
 }
 
-// An operator adds a setting to a long file that holds it already, further up.
-// JSON keeps one of the two without a word, and the process runs on a value
-// that the operator believes to have replaced.
-BOOST_AUTO_TEST_CASE(AKeyThatStandsTwiceIsRefusedByName) {
+// An operator adds a setting to a long file that already contains it. JSON
+// parsers silently keep one of the two, so the process could run with the value
+// that the operator meant to replace.
+BOOST_AUTO_TEST_CASE(DuplicateKeysAreReportedByName) {
   const std::string Engine = R"(, "engine_url": "http://127.0.0.1:80")";
-  check({{Engine + R"(, "warm_limit": 8, "warm_limit": 9)",
-          "f.json: warm_limit: found the key twice"},
-         {Engine + R"(, "warm_limit": 8, "warm_limit": 8)",
-          "f.json: warm_limit: found the key twice"},
-         {Engine + R"(, "warm_limit": 8, "warm_limit": 9, "warm_limit": 7)",
-          "f.json: warm_limit: found the key twice"},
-         {Engine + R"(, "warm_limit": 8, "cold_limit": 2)", ""},
-         {R"(, "name": "b")", "f.json: name: found the key twice"}},
-        faultsOfAgent);
-  // With the other faults, so that one look at the file mends them all.
-  const std::string All = faultsOfAgent(
+  checkCases(
+      {{Engine + R"(, "warm_limit": 8, "warm_limit": 9)",
+        "f.json: warm_limit: found the key twice"},
+       {Engine + R"(, "warm_limit": 8, "warm_limit": 8)",
+        "f.json: warm_limit: found the key twice"},
+       {Engine + R"(, "warm_limit": 8, "warm_limit": 9, "warm_limit": 7)",
+        "f.json: warm_limit: found the key twice"},
+       {Engine + R"(, "warm_limit": 8, "cold_limit": 2)", ""},
+       {R"(, "name": "b")", "f.json: name: found the key twice"}},
+      agentSettingsErrors);
+  // Duplicates are reported together with all other errors.
+  const std::string All = agentSettingsErrors(
       Engine + R"(, "name": "b", "domain": "e", "heartbeat_ms": 1)");
   BOOST_TEST(All.find("name: found the key twice") != std::string::npos, All);
   BOOST_TEST(All.find("domain: found the key twice") != std::string::npos, All);
   BOOST_TEST(All.find("heartbeat_ms: found 1") != std::string::npos, All);
-  // Objects side by side may each have the key.
-  BOOST_TEST(faultsOfDocument(R"(, "tenants": [{"name": "a"}, {"name": "b"}])")
-                 .empty());
+  // The same key in sibling objects is allowed.
+  BOOST_TEST(
+      documentErrors(R"(, "tenants": [{"name": "a"}, {"name": "b"}])").empty());
 }
 
-// A folder is given as settings file, such as the one that holds it. It opens
-// like a file and fails at the first byte.
-BOOST_AUTO_TEST_CASE(AFolderIsNoSettingsFile) {
+// A folder given as the settings file opens like a file; only the first read
+// fails.
+BOOST_AUTO_TEST_CASE(AFolderIsRejectedAsSettingsFile) {
   const auto Read =
       outcomeOf([&] { return readFile(JACINTHPOND_SOURCE_FOLDER "/docs"); });
   BOOST_TEST(!Read.Value);
@@ -154,7 +163,7 @@
   BOOST_TEST(Page.Value.value_or("") == settingsPage());
 }
 
-BOOST_AUTO_TEST_CASE(AShutdownEndsBeforeTheHostEndsIt) {
+BOOST_AUTO_TEST_CASE(ShutdownEndsBeforeTheHostKillsTheProcess) {
   Settings Config;
   Config.ShutdownMillis = 30000;
   const Millis ToEnd{600};
@@ -168,14 +177,15 @@
   BOOST_TEST(shutdownTime(Config, Millis(1600)).count() == 250);
 }
 
-// Story: a document of nested brackets is published, or sent to /v1/check. It
-// is valid JSON; printing it for the fault recurses once a bracket, and every
-// process that reads it would crash on its stack at the same time.
-BOOST_AUTO_TEST_CASE(DeepNestingIsRefusedNotPrinted) {
+// A published document, or one sent to /v1/check, consists of deeply nested
+// brackets. It is valid JSON, but printing it in the error message recurses
+// once for each bracket; all processes would overflow their stacks at the same
+// time.
+BOOST_AUTO_TEST_CASE(DeepNestingIsRejectedWithoutPrintingIt) {
   const size_t Depth = 400000;
   const std::string Nested = std::string(Depth, '[') + std::string(Depth, ']');
   BOOST_TEST(
-      faultsOfDocument(", \"tenants\": " + Nested).find("deeper nesting") !=
+      documentErrors(", \"tenants\": " + Nested).find("deeper nesting") !=
       std::string::npos);
   const auto Read = outcomeOf(
       [&] { return parseSettings(Nested, "f.json", SettingOwner::Entry); });
