--- a/packages/adapters/cli/command_line.cpp
+++ b/packages/adapters/cli/command_line.cpp
@@ -1,4 +1,4 @@
-/** @file command_line.cpp Command lines of both programs, by popt. */
+/** @file command_line.cpp Command line parsing of both programs, by popt. */
 
 #include "cli/command_line.h"
 
@@ -12,30 +12,32 @@
 
 namespace {
 
-/** Builds popt's table; an option's value is its place, counted from 1. */
+/** Builds popt's table of options. The value that popt returns for an option is
+ * its index in Options, counted from 1. */
 std::vector<poptOption> poptTable(const std::vector<CommandOption> &Options) {
   std::vector<poptOption> Table;
   Table.reserve(Options.size() + 2);
-  for (const CommandOption &One : Options) {
-    const bool Flag = std::holds_alternative<bool *>(One.Into);
+  for (const CommandOption &Option : Options) {
+    const bool Flag = std::holds_alternative<bool *>(Option.Target);
     Table.push_back(
-        {One.Name, One.Short,
+        {Option.Name, Option.Short,
          static_cast<unsigned>(Flag ? POPT_ARG_NONE : POPT_ARG_STRING), nullptr,
-         static_cast<int>(Table.size()) + 1, One.Help, One.Argument});
+         static_cast<int>(Table.size()) + 1, Option.Help, Option.Argument});
   }
-  const std::vector<poptOption> Last = {
+  const std::vector<poptOption> Trailer = {
       POPT_AUTOHELP{nullptr, 0, 0, nullptr, 0, nullptr, nullptr}};
-  Table.insert(Table.end(), Last.begin(), Last.end());
+  Table.insert(Table.end(), Trailer.begin(), Trailer.end());
   return Table;
 }
 
-void setOption(const CommandOption &One, poptContext Context) {
-  if (bool *const *Flag = std::get_if<bool *>(&One.Into)) {
+/** Stores the value of an option that popt has just read. */
+void storeOptionValue(const CommandOption &Option, poptContext Context) {
+  if (bool *const *Flag = std::get_if<bool *>(&Option.Target)) {
     **Flag = true;
     return;
   }
   char *Text = poptGetOptArg(Context);
-  *std::get<std::string *>(One.Into) = Text == nullptr ? "" : Text;
+  *std::get<std::string *>(Option.Target) = Text == nullptr ? "" : Text;
   free(Text); // NOLINT: popt allocates by malloc.
 }
 
@@ -52,16 +54,16 @@
   poptSetOtherOptionHelp(Context.get(), Usage.c_str());
   int rc = 0;
   while ((rc = poptGetNextOpt(Context.get())) > 0)
-    setOption(Options.at(static_cast<size_t>(rc) - 1), Context.get());
+    storeOptionValue(Options.at(static_cast<size_t>(rc) - 1), Context.get());
   if (rc < -1) {
     std::cerr << Program << ": " << poptBadOption(Context.get(), 0) << ": "
               << poptStrerror(rc) << "; see --help\n";
     return std::nullopt;
   }
-  std::vector<std::string> Words;
-  while (const char *Word = poptGetArg(Context.get()))
-    Words.emplace_back(Word);
-  return Words;
+  std::vector<std::string> Positional;
+  while (const char *Argument = poptGetArg(Context.get()))
+    Positional.emplace_back(Argument);
+  return Positional;
 }
 
 } // namespace jacinthpond
--- a/packages/adapters/cli/command_line.h
+++ b/packages/adapters/cli/command_line.h
@@ -1,4 +1,4 @@
-/** @file command_line.h Command lines of both programs, by popt. */
+/** @file command_line.h Command line parsing of both programs, by popt. */
 
 #ifndef JACINTHPOND_ADAPTERS_CLI_COMMAND_LINE_H
 #define JACINTHPOND_ADAPTERS_CLI_COMMAND_LINE_H
@@ -10,24 +10,25 @@
 
 namespace jacinthpond {
 
-/** One option. */
+/** One option of a command line. */
 struct CommandOption {
-  const char *Name;                         ///< Long name, without dashes.
-  char Short;                               ///< Short name; 0: none.
-  std::variant<bool *, std::string *> Into; ///< A flag, or a text to set.
-  const char *Argument;                     ///< Name of the text in the help.
-  const char *Help;                         ///< What it does.
+  const char *Name;                           ///< Long name, without dashes.
+  char Short;                                 ///< Short name; 0: none.
+  std::variant<bool *, std::string *> Target; ///< Flag or text that it sets.
+  const char *Argument; ///< Name of its argument in the help.
+  const char *Help;     ///< Description in the help.
 };
 
 /**
- * Reads a command line; --help is answered and ends the program. A fault is
- * told in one line on standard error.
+ * Parses a command line and stores the values of its options. --help prints the
+ * help and exits the program. An error is printed as one line to standard
+ * error.
  * @param Program Name of the program.
- * @param Usage What follows the name in the help.
- * @param Options All options.
+ * @param Usage Text after the program's name in the usage line of the help.
+ * @param Options All options of the program.
  * @param Count Number of arguments, the program's name included.
  * @param Arguments The arguments.
- * @return The words that are no options; nothing when there was a fault.
+ * @return The positional arguments; nothing after an error.
  */
 std::optional<std::vector<std::string>>
 readCommandLine(const std::string &Program, const std::string &Usage,
--- a/packages/adapters/clock/runtime_clock.h
+++ b/packages/adapters/clock/runtime_clock.h
@@ -1,4 +1,4 @@
-/** @file runtime_clock.h The clock of a process: it never goes back. */
+/** @file runtime_clock.h Monotonic clock of a process, by CLOCK_BOOTTIME. */
 
 #ifndef JACINTHPOND_ADAPTERS_CLOCK_RUNTIME_CLOCK_H
 #define JACINTHPOND_ADAPTERS_CLOCK_RUNTIME_CLOCK_H
@@ -10,10 +10,11 @@
 namespace jacinthpond {
 
 /**
- * ClockPort over the time since boot. Like the steady clock, but the time for
- * which a host is suspended counts. On the steady clock a process that slept
- * with its host would neither notice the pause nor that its view, its bounds
- * and the deadlines of its requests are older by it.
+ * ClockPort over the time since boot. It is monotonic like the steady clock,
+ * but goes on while the host is suspended. With the steady clock, a process on
+ * a suspended host would not notice the pause: its view of the other processes,
+ * its time limits and the deadlines of its requests would all seem younger than
+ * they are.
  */
 class RuntimeClock final : public ClockPort {
 public:
--- a/packages/adapters/codec/message_codec.cpp
+++ b/packages/adapters/codec/message_codec.cpp
@@ -1,4 +1,4 @@
-/** @file message_codec.cpp Messages to CBOR and back, by nlohmann-json. */
+/** @file message_codec.cpp Encoding of messages as CBOR, by nlohmann-json. */
 
 #include "codec/message_codec.h"
 
@@ -23,15 +23,16 @@
 
 namespace {
 
-/** Longest document that is expanded; parseDocument() has the same bound. */
-constexpr size_t MaxDocumentText = 8 << 20;
-/** Place of ConfigPush among the messages: a document is sent to every process
- * for each change, and shrinks to a sixth. */
-constexpr size_t PushIndex = 3;
+/** Longest document after decompression; parseDocument() has the same limit. */
+constexpr size_t MaxDocumentTextBytes = 8 << 20;
+/** Index of ConfigPush in Message. Its document is compressed: every change
+ * goes to every process, and compression shrinks a document to a sixth. */
+constexpr size_t ConfigPushIndex = 3;
 static_assert(
-    std::is_same_v<std::variant_alternative_t<PushIndex, Message>, ConfigPush>);
+    std::is_same_v<std::variant_alternative_t<ConfigPushIndex, Message>,
+                   ConfigPush>);
 
-/** Number of values of an enumeration that may be sent; 0: not allowed. */
+/** Number of values of an enumeration; 0: it may not be sent. */
 template <typename Enum> constexpr uint64_t EnumSize = 0;
 template <> constexpr uint64_t EnumSize<Role> = 2;
 template <> constexpr uint64_t EnumSize<WorkerState> = 5;
@@ -41,23 +42,23 @@
 constexpr uint64_t
     EnumSize<ErrorKind> = static_cast<uint64_t>(ErrorKind::Count);
 
-/** Stands between digests, which are letters and digits. */
-constexpr char DigestEnd = '\n';
+/** Follows each digest in a field; digests consist of letters and digits. */
+constexpr char DigestTerminator = '\n';
 
-/** Puts digests into one field: a list in the list of a message would have to
- * be bounded on its own. */
+/** Joins digests into one string field: a nested array would need a length
+ * limit of its own. */
 std::string joinDigests(const std::vector<Digest> &All) {
   return std::accumulate(All.begin(), All.end(), std::string(),
                          [](std::string Sum, const Digest &One) {
-                           return std::move(Sum) + One.Value + DigestEnd;
+                           return std::move(Sum) + One.Value + DigestTerminator;
                          });
 }
 
-/** Takes digests out of one field; false when it ends in the middle of one. */
+/** Splits a field into digests; false when its last one is not terminated. */
 bool splitDigests(const std::string &Text, std::vector<Digest> &Into) {
   Into.clear();
   for (size_t Begin = 0; Begin < Text.size();) {
-    const size_t End = Text.find(DigestEnd, Begin);
+    const size_t End = Text.find(DigestTerminator, Begin);
     if (End == std::string::npos)
       return false;
     Into.push_back({Text.substr(Begin, End - Begin)});
@@ -66,9 +67,9 @@
   return true;
 }
 
-/** Visitor that writes each field behind the one before. */
+/** Visitor that appends each field of a message to a CBOR array. */
 struct FieldWriter {
-  Json List = Json::array(); ///< The message so far.
+  Json List = Json::array(); ///< The type and the fields so far.
 
   template <typename T> void operator()(const char *Name, const T &Field) {
     if constexpr (std::is_enum_v<T>)
@@ -88,23 +89,26 @@
   }
 };
 
-/** Visitor that reads one field after the other; a missing one is an error. */
+/** Visitor that reads the fields of a message in order; a missing field is an
+ * error. */
 struct FieldReader {
-  const Json &List;          ///< The message.
-  size_t Next = 1;           ///< Place of the next field; 0 holds the type.
-  const char *Bad = nullptr; ///< First field that could not be read.
+  const Json &List;     ///< The type and the fields.
+  size_t NextIndex = 1; ///< Index of the next field; 0 holds the type.
+  const char *FirstInvalid = nullptr; ///< First field that could not be read.
 
   template <typename T> void operator()(const char *Name, T &Field) {
     if constexpr (requires { Field.Value; }) {
       (*this)(Name, Field.Value);
     } else {
-      const size_t n = Next++;
+      const size_t n = NextIndex++;
       if (n >= List.size() || !read(List[n], Field))
-        Bad = Bad == nullptr ? Name : Bad;
+        FirstInvalid = FirstInvalid == nullptr ? Name : FirstInvalid;
     }
   }
 
 private:
+  /** Reads a byte string; like all overloads, false when the value is of
+   * another type or out of range. */
   static bool read(const Json &Value, std::string &Field) {
     if (!Value.is_binary())
       return false;
@@ -112,6 +116,7 @@
     return true;
   }
 
+  /** Reads raw bytes. */
   static bool read(const Json &Value, std::vector<uint8_t> &Field) {
     if (!Value.is_binary())
       return false;
@@ -119,12 +124,13 @@
     return true;
   }
 
+  /** Reads the digests that joinDigests() wrote. */
   static bool read(const Json &Value, std::vector<Digest> &Field) {
     std::string Text;
     return read(Value, Text) && splitDigests(Text, Field);
   }
 
-  /** Reads a rate or nothing; not below 0, and finite. */
+  /** Reads a finite rate of at least 0, or null. */
   static bool read(const Json &Value, std::optional<double> &Field) {
     Field.reset();
     if (Value.is_null())
@@ -135,6 +141,7 @@
     return std::isfinite(*Field) && *Field >= 0;
   }
 
+  /** Reads a boolean. */
   static bool read(const Json &Value, bool &Field) {
     if (!Value.is_boolean())
       return false;
@@ -142,6 +149,7 @@
     return true;
   }
 
+  /** Reads an integer that fits into T. */
   template <typename T>
   static std::enable_if_t<std::is_integral_v<T>, bool> read(const Json &Value,
                                                             T &Field) {
@@ -162,6 +170,7 @@
     return true;
   }
 
+  /** Reads an enumerator below EnumSize. */
   template <typename T>
   static std::enable_if_t<std::is_enum_v<T>, bool> read(const Json &Value,
                                                         T &Field) {
@@ -174,9 +183,9 @@
 };
 
 /**
- * Ends a frame with its checksum, lowest byte first. A bit that flips behind
- * TCP's own weak sum would otherwise give one caller another one's key or
- * text, with nothing to show it.
+ * Appends the checksum of a frame, least significant byte first. TCP's checksum
+ * is weak: without this one, a flipped bit that TCP misses could silently give
+ * a caller the key or the text of another caller.
  */
 void appendChecksum(std::string &Frame) {
   uint64_t Sum = checksum64(Frame);
@@ -184,8 +193,8 @@
     Frame += static_cast<char>(Sum & 0xffU);
 }
 
-/** Takes the checksum off a frame; false when it does not fit. */
-bool dropChecksum(std::string_view &Frame) {
+/** Removes the checksum from a frame; false when it does not match. */
+bool verifyAndRemoveChecksum(std::string_view &Frame) {
   if (Frame.size() < sizeof(uint64_t))
     return false;
   const std::string_view Tail = Frame.substr(Frame.size() - sizeof(uint64_t));
@@ -196,24 +205,26 @@
   return Sum == checksum64(Frame);
 }
 
+/** Decodes the fields of a message of the given type, an index in Message.
+ * Recurses over the alternatives from Index on. */
 template <size_t Index = 0>
-Result<Message> decodeAlternative(size_t Which, const Json &List) {
+Result<Message> decodeAlternative(size_t TypeIndex, const Json &List) {
   if constexpr (Index < std::variant_size_v<Message>) {
-    if (Which != Index)
-      return decodeAlternative<Index + 1>(Which, List);
+    if (TypeIndex != Index)
+      return decodeAlternative<Index + 1>(TypeIndex, List);
     std::variant_alternative_t<Index, Message> m;
     FieldReader Reader{List};
     describe(Reader, m);
-    if (Reader.Bad != nullptr)
+    if (Reader.FirstInvalid != nullptr)
       return fail(ErrorKind::Malformed,
-                  std::string("field ") + Reader.Bad + " of message " +
+                  std::string("field ") + Reader.FirstInvalid + " of message " +
                       std::string(MessageNames.at(Index)));
-    if (Reader.Next != List.size())
+    if (Reader.NextIndex != List.size())
       return fail(ErrorKind::Malformed,
                   "extra fields in message " +
                       std::string(MessageNames.at(Index)));
-    if constexpr (Index == PushIndex) {
-      auto Text = expandText(m.Text, MaxDocumentText);
+    if constexpr (Index == ConfigPushIndex) {
+      auto Text = decompressText(m.Text, MaxDocumentTextBytes);
       if (!Text)
         return fail(ErrorKind::Malformed, "document cannot be expanded");
       m.Text = std::move(*Text);
@@ -230,7 +241,7 @@
   FieldWriter Writer;
   Writer.List.push_back(m.index());
   std::visit(
-      [&](auto Copy) { // describe() takes a mutable message for the reader.
+      [&](auto Copy) { // describe() needs a mutable message for FieldReader.
         if constexpr (std::is_same_v<decltype(Copy), ConfigPush>)
           Copy.Text = compressText(Copy.Text);
         describe(Writer, Copy);
@@ -243,7 +254,7 @@
 }
 
 Result<Message> decodeMessage(std::string_view Bytes) {
-  if (!dropChecksum(Bytes))
+  if (!verifyAndRemoveChecksum(Bytes))
     return fail(ErrorKind::Malformed, "checksum differs");
   const Json List = readCbor(Bytes, CborLimits{});
   if (!List.is_array() || List.empty())
--- a/packages/adapters/codec/message_codec.h
+++ b/packages/adapters/codec/message_codec.h
@@ -1,4 +1,4 @@
-/** @file message_codec.h Messages to CBOR and back, by nlohmann-json. */
+/** @file message_codec.h Encoding of messages as CBOR, by nlohmann-json. */
 
 #ifndef JACINTHPOND_ADAPTERS_CODEC_MESSAGE_CODEC_H
 #define JACINTHPOND_ADAPTERS_CODEC_MESSAGE_CODEC_H
@@ -12,16 +12,16 @@
 namespace jacinthpond {
 
 /**
- * Writes a message as one CBOR list, its type and then its fields, with a
- * checksum behind it.
+ * Encodes a message as a CBOR array, its type and then its fields, followed by
+ * a checksum.
  * @param m The message.
- * @return The bytes for one websocket frame.
+ * @return The content of one websocket frame.
  */
 std::string encodeMessage(const Message &m);
 
 /**
- * Checks and reads one frame.
- * @param Bytes Content of one websocket frame; not trusted.
+ * Verifies the checksum of a frame and decodes its message.
+ * @param Bytes Content of one websocket frame; untrusted.
  * @return The message, or ErrorKind::Malformed.
  */
 Result<Message> decodeMessage(std::string_view Bytes);
--- a/packages/adapters/codec/text_compression.cpp
+++ b/packages/adapters/codec/text_compression.cpp
@@ -1,4 +1,4 @@
-/** @file text_compression.cpp Compressed text by zlib. */
+/** @file text_compression.cpp Compression of texts by zlib. */
 
 #include "codec/text_compression.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** Level of zlib: documents shrink to a sixth; higher levels gain little. */
-constexpr int Level = 3;
-/** Bytes by which the text grows while it is expanded. */
-constexpr size_t Step = 64 << 10;
+/** zlib's level: documents shrink to a sixth; higher levels gain little. */
+constexpr int CompressionLevel = 3;
+/** Bytes by which the output buffer grows during decompression. */
+constexpr size_t GrowthStepBytes = 64 << 10;
 
 } // namespace
 
@@ -22,16 +22,18 @@
     return {};
   uLongf Size = compressBound(Text.size());
   std::string Bytes(Size, '\0');
-  const int Done = compress2(reinterpret_cast<Bytef *>(Bytes.data()), &Size,
-                             reinterpret_cast<const Bytef *>(Text.data()),
-                             Text.size(), Level);
-  // It fails only without memory; an empty form is no text for the receiver.
-  Bytes.resize(Done == Z_OK ? Size : 0);
+  const int Status = compress2(reinterpret_cast<Bytef *>(Bytes.data()), &Size,
+                               reinterpret_cast<const Bytef *>(Text.data()),
+                               Text.size(), CompressionLevel);
+  // compress2() fails only when memory runs out. The result is empty then,
+  // which is no valid document.
+  Bytes.resize(Status == Z_OK ? Size : 0);
   Bytes.shrink_to_fit();
   return Bytes;
 }
 
-std::optional<std::string> expandText(std::string_view Bytes, size_t MaxBytes) {
+std::optional<std::string> decompressText(std::string_view Bytes,
+                                          size_t MaxBytes) {
   if (Bytes.empty())
     return std::string();
   z_stream Stream{};
@@ -40,17 +42,17 @@
   Stream.next_in = reinterpret_cast<Bytef *>(const_cast<char *>(Bytes.data()));
   Stream.avail_in = static_cast<uInt>(Bytes.size());
   std::string Text;
-  int Done = Z_OK;
-  while (Done == Z_OK && Text.size() <= MaxBytes) {
+  int Status = Z_OK;
+  while (Status == Z_OK && Text.size() <= MaxBytes) {
     const size_t Before = Text.size();
-    Text.resize(Before + Step);
+    Text.resize(Before + GrowthStepBytes);
     Stream.next_out = reinterpret_cast<Bytef *>(Text.data() + Before);
-    Stream.avail_out = static_cast<uInt>(Step);
-    Done = inflate(&Stream, Z_NO_FLUSH);
-    Text.resize(Before + Step - Stream.avail_out);
+    Stream.avail_out = static_cast<uInt>(GrowthStepBytes);
+    Status = inflate(&Stream, Z_NO_FLUSH);
+    Text.resize(Before + GrowthStepBytes - Stream.avail_out);
   }
   inflateEnd(&Stream);
-  if (Done != Z_STREAM_END || Text.size() > MaxBytes)
+  if (Status != Z_STREAM_END || Text.size() > MaxBytes)
     return std::nullopt;
   return Text;
 }
--- a/packages/adapters/codec/text_compression.h
+++ b/packages/adapters/codec/text_compression.h
@@ -1,4 +1,4 @@
-/** @file text_compression.h Compressed text by zlib. */
+/** @file text_compression.h Compression of texts by zlib. */
 
 #ifndef JACINTHPOND_ADAPTERS_CODEC_TEXT_COMPRESSION_H
 #define JACINTHPOND_ADAPTERS_CODEC_TEXT_COMPRESSION_H
@@ -18,12 +18,14 @@
 std::string compressText(std::string_view Text);
 
 /**
- * Undoes compressText().
- * @param Bytes Not trusted.
- * @param MaxBytes Longest text allowed; a small frame could stand for any size.
- * @return The text, or nothing when it cannot be read or is too long.
+ * Decompresses the result of compressText().
+ * @param Bytes Compressed form; untrusted.
+ * @param MaxBytes Longest text allowed: a few compressed bytes may expand to
+ * any size.
+ * @return The text; nothing when the input is invalid or the text too long.
  */
-std::optional<std::string> expandText(std::string_view Bytes, size_t MaxBytes);
+std::optional<std::string> decompressText(std::string_view Bytes,
+                                          size_t MaxBytes);
 
 } // namespace jacinthpond
 
--- a/packages/adapters/threads/control_loop.cpp
+++ b/packages/adapters/threads/control_loop.cpp
@@ -1,4 +1,4 @@
-/** @file control_loop.cpp The one thread that owns a process's state. */
+/** @file control_loop.cpp Event loop that owns the state of a process. */
 
 #include "threads/control_loop.h"
 
@@ -24,8 +24,8 @@
   Done.get_future().wait();
 }
 
-void ControlLoop::run(Millis Between, const Task &Tick) {
-  Period = Between;
+void ControlLoop::run(Millis TickPeriod, const Task &Tick) {
+  Period = TickPeriod;
   TimePoint NextTick = Clock.now();
   std::unique_lock Lock(Guard);
   while (!Stopped) {
--- a/packages/adapters/threads/control_loop.h
+++ b/packages/adapters/threads/control_loop.h
@@ -1,4 +1,4 @@
-/** @file control_loop.h The one thread that owns a process's state. */
+/** @file control_loop.h Event loop that owns the state of a process. */
 
 #ifndef JACINTHPOND_ADAPTERS_THREADS_CONTROL_LOOP_H
 #define JACINTHPOND_ADAPTERS_THREADS_CONTROL_LOOP_H
@@ -12,53 +12,55 @@
 
 namespace jacinthpond {
 
-/** Runs tasks one after the other on the thread that calls run(). */
+/** Runs tasks one after the other, and a periodic tick, on the thread that
+ * calls run(). */
 class ControlLoop {
 public:
-  /** Work on the state; gets the time at which it runs. */
+  /** Work on the process's state; gets the current time. */
   using Task = std::function<void(TimePoint)>;
 
   /**
-   * Makes a loop that is not running yet.
-   * @param Source Clock of the process.
+   * Creates a loop; run() starts it.
+   * @param ProcessClock Clock of the process.
    */
-  explicit ControlLoop(const ClockPort &Source) : Clock(Source) {}
+  explicit ControlLoop(const ClockPort &ProcessClock) : Clock(ProcessClock) {}
 
   /**
-   * Adds a task; may be called from any thread.
+   * Queues a task; thread-safe.
    * @param Work The task.
    */
   void post(Task Work);
 
   /**
-   * Adds a task and waits until it ran; not from the loop's own thread.
+   * Queues a task and waits until it has run. Deadlocks on the loop's own
+   * thread.
    * @param Work The task.
    */
   void postAndWait(const Task &Work);
 
   /**
    * Runs tasks until stop().
-   * @param Between Time between two ticks.
-   * @param Tick Called when a period has passed.
+   * @param TickPeriod Time between two ticks.
+   * @param Tick Called at once, then after each period.
    */
-  void run(Millis Between, const Task &Tick);
+  void run(Millis TickPeriod, const Task &Tick);
 
   /**
-   * Changes the time between two ticks; from the loop's own thread only.
-   * @param Next The time from the next tick on.
+   * Changes the time between two ticks; on the loop's own thread only.
+   * @param NewPeriod In force from the next tick on.
    */
-  void setPeriod(Millis Next) { Period = Next; }
+  void setPeriod(Millis NewPeriod) { Period = NewPeriod; }
 
-  /** Ends run() after the task under way; may be called from any thread. */
+  /** Makes run() return after the current task; thread-safe. */
   void stop();
 
 private:
   const ClockPort &Clock;
-  std::mutex Guard; ///< Guards Tasks and Stopped.
-  std::condition_variable Changed;
+  std::mutex Guard;                ///< Guards Tasks and Stopped.
+  std::condition_variable Changed; ///< Signals a new task or stop().
   std::deque<Task> Tasks;
   bool Stopped = false;
-  Millis Period{0}; ///< Time between two ticks; the loop's own.
+  Millis Period{0}; ///< Time between two ticks; used on the loop's thread only.
 };
 
 } // namespace jacinthpond
--- a/packages/adapters/threads/pause_watch.h
+++ b/packages/adapters/threads/pause_watch.h
@@ -1,4 +1,4 @@
-/** @file pause_watch.h Notices that the process stood still. */
+/** @file pause_watch.h Detects that the process was paused. */
 
 #ifndef JACINTHPOND_ADAPTERS_THREADS_PAUSE_WATCH_H
 #define JACINTHPOND_ADAPTERS_THREADS_PAUSE_WATCH_H
@@ -11,45 +11,47 @@
 namespace jacinthpond {
 
 /**
- * Counts the pauses of a process, from the gaps between the beats of its
- * control thread. Whichever thread wakes first sees the gap, so that one that
- * was about to act on an old decision can drop it.
+ * Counts the pauses of a process (a suspended host, a stopped process) by the
+ * gaps between beats of its control thread. After a pause, any thread can see
+ * the gap before the next beat. A thread that was about to act on a decision
+ * from before the pause compares pauses() and drops the decision.
  */
 class PauseWatch {
 public:
   /**
    * Starts watching.
    * @param Now Current time.
-   * @param Gap Gap between two beats that counts as a pause.
+   * @param MinPause Shortest gap between two beats that counts as a pause.
    */
-  PauseWatch(TimePoint Now, Millis Gap) : Last(Now), Gap(Gap) {}
+  PauseWatch(TimePoint Now, Millis MinPause)
+      : LastBeat(Now), Threshold(MinPause) {}
 
   /**
-   * The control thread is alive.
+   * Records that the control thread is running.
    * @param Now Current time.
    */
   void beat(TimePoint Now) {
     const std::lock_guard Lock(Guard);
-    if (Now - Last > Gap)
+    if (Now - LastBeat > Threshold)
       ++Pauses;
-    Last = Now;
+    LastBeat = Now;
   }
 
   /**
-   * Counts pauses, the one that has no beat after it yet included.
+   * Gives the number of pauses, including one that no beat has followed yet.
    * @param Now Current time.
    * @return Pauses since the start.
    */
   uint64_t pauses(TimePoint Now) {
     const std::lock_guard Lock(Guard);
-    return Pauses + (Now - Last > Gap ? 1 : 0);
+    return Pauses + (Now - LastBeat > Threshold ? 1 : 0);
   }
 
 private:
-  std::mutex Guard; ///< Guards Last and Pauses.
-  TimePoint Last;   ///< Last beat.
-  uint64_t Pauses = 0;
-  Millis Gap;
+  std::mutex Guard;    ///< Guards LastBeat and Pauses.
+  TimePoint LastBeat;  ///< Time of the latest beat.
+  uint64_t Pauses = 0; ///< Pauses that a beat has followed.
+  Millis Threshold;    ///< Longest gap between two beats that is no pause.
 };
 
 } // namespace jacinthpond
--- a/packages/adapters/threads/process.cpp
+++ b/packages/adapters/threads/process.cpp
@@ -1,4 +1,4 @@
-/** @file process.cpp What both programs do around their control loop. */
+/** @file process.cpp Start, settings, signals and shutdown of both programs. */
 
 #include "threads/process.h"
 
@@ -21,10 +21,11 @@
 
 namespace {
 
-/** Time between two looks at the settings file, in seconds. */
+/** Time between two checks whether the settings file changed, in seconds. */
 constexpr time_t SettingsPollSeconds = 2;
 
-sigset_t stopSignals() {
+/** The signals that waitForSignal() takes. */
+sigset_t handledSignals() {
   sigset_t Signals;
   sigemptyset(&Signals);
   sigaddset(&Signals, SIGTERM);
@@ -36,22 +37,22 @@
 } // namespace
 
 Result<std::string> readFile(const std::string &Path) {
-  const auto Unreadable = [&] {
+  const auto FailUnreadable = [&] {
     const std::string Why = std::generic_category().message(errno);
     return fail(ErrorKind::NotFound, Path + ": cannot be read: " + Why);
   };
   errno = 0;
   std::ifstream File(Path, std::ios::binary);
   if (!File)
-    return Unreadable();
-  // A folder opens like a file and fails at the first byte. An iterator over
-  // the stream's buffer would throw then, and nobody would learn why.
+    return FailUnreadable();
+  // A directory opens like a file, and its first read fails. An iterator over
+  // the stream's buffer would throw then and lose the reason.
   std::string Text;
-  std::array<char, 4096> Part{};
-  while (File.read(Part.data(), Part.size()) || File.gcount() > 0)
-    Text.append(Part.data(), static_cast<size_t>(File.gcount()));
+  std::array<char, 4096> Buffer{};
+  while (File.read(Buffer.data(), Buffer.size()) || File.gcount() > 0)
+    Text.append(Buffer.data(), static_cast<size_t>(File.gcount()));
   if (File.bad())
-    return Unreadable();
+    return FailUnreadable();
   return Text;
 }
 
@@ -67,25 +68,26 @@
 }
 
 void keepHeapSmall() {
-  constexpr int GiveBackAbove = 128 << 10;
-  constexpr int GrowBy = 32 << 10;
+  constexpr int TrimThresholdBytes = 128 << 10;
+  constexpr int TopPadBytes = 32 << 10;
   mallopt(M_ARENA_MAX, 1);
-  mallopt(M_TRIM_THRESHOLD, GiveBackAbove);
-  mallopt(M_TOP_PAD, GrowBy);
+  mallopt(M_TRIM_THRESHOLD, TrimThresholdBytes);
+  mallopt(M_TOP_PAD, TopPadBytes);
 }
 
 void blockStopSignals() {
-  const sigset_t Signals = stopSignals();
+  const sigset_t Signals = handledSignals();
   pthread_sigmask(SIG_BLOCK, &Signals, nullptr);
-  // A peer that closes its end must not end this process.
+  // Writing to a socket that the peer has closed must not end this process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-Told waitForSignal() {
-  const sigset_t Signals = stopSignals();
-  const timespec Longest{SettingsPollSeconds, 0};
-  const int Signal = sigtimedwait(&Signals, nullptr, &Longest);
-  return Signal == SIGTERM || Signal == SIGINT ? Told::Stop : Told::Reload;
+SignalAction waitForSignal() {
+  const sigset_t Signals = handledSignals();
+  const timespec PollInterval{SettingsPollSeconds, 0};
+  const int Signal = sigtimedwait(&Signals, nullptr, &PollInterval);
+  return Signal == SIGTERM || Signal == SIGINT ? SignalAction::Stop
+                                               : SignalAction::Reload;
 }
 
 void waitForStop(const std::string &Path, SettingOwner Program,
@@ -93,12 +95,12 @@
   const auto ReadText = [&] {
     return outcomeOf([&] { return readFile(Path); }).Value.value_or("");
   };
-  std::string InForce = ReadText();
-  while (waitForSignal() != Told::Stop) {
+  std::string CurrentText = ReadText();
+  while (waitForSignal() != SignalAction::Stop) {
     const std::string Text = ReadText();
-    if (Text == InForce || Text.empty())
+    if (Text == CurrentText || Text.empty())
       continue;
-    InForce = Text;
+    CurrentText = Text;
     const auto Read =
         outcomeOf([&] { return parseSettings(Text, Path, Program); });
     if (!Read.Value) {
@@ -121,11 +123,12 @@
 
 void shutDown(const std::function<bool()> &Drain) {
   logLine(LogPart::Main, LogLevel::Info, "event=stop outcome=draining");
-  const bool Whole = Drain();
+  const bool Drained = Drain();
   logLine(LogPart::Main, LogLevel::Info,
-          std::string("event=stop outcome=") + (Whole ? "drained" : "cut_off"));
+          std::string("event=stop outcome=") +
+              (Drained ? "drained" : "cut_off"));
   endLog();
-  if (Whole)
+  if (Drained)
     return;
   std::cerr.flush();
   std::_Exit(ExitCutOff);
@@ -133,15 +136,15 @@
 
 uint64_t randomIncarnation() {
   std::random_device Source;
-  std::uniform_int_distribution<uint64_t> Any(1, UINT64_MAX >> 1U);
-  return Any(Source);
+  std::uniform_int_distribution<uint64_t> Incarnations(1, UINT64_MAX >> 1U);
+  return Incarnations(Source);
 }
 
 void announceReady(
     const std::vector<std::pair<std::string, std::string>> &Addresses) {
   nlohmann::json Line = {{"ready", true}};
-  for (const auto &[Name, At] : Addresses)
-    Line[Name] = At;
+  for (const auto &[Name, ListenAddress] : Addresses)
+    Line[Name] = ListenAddress;
   std::cout << Line.dump() << std::endl;
 }
 
--- a/packages/adapters/threads/process.h
+++ b/packages/adapters/threads/process.h
@@ -1,4 +1,4 @@
-/** @file process.h What both programs do around their control loop. */
+/** @file process.h Start, settings, signals and shutdown of both programs. */
 
 #ifndef JACINTHPOND_ADAPTERS_THREADS_PROCESS_H
 #define JACINTHPOND_ADAPTERS_THREADS_PROCESS_H
@@ -13,87 +13,90 @@
 
 /** Exit codes of both programs; documented in docs/OPERATIONS.md. */
 enum ExitCode : int {
-  ExitDone = 0,    ///< All went well; a graceful shutdown too.
-  ExitFailed = 1,  ///< The request could not be carried out.
+  ExitDone = 0,    ///< Success, including a graceful shutdown.
+  ExitFailed = 1,  ///< The command failed.
   ExitUsage = 2,   ///< Unknown option or command.
-  ExitInvalid = 3, ///< A file is invalid; all faults were printed.
-  ExitCutOff = 4   ///< Shutdown took too long and cut off work.
+  ExitInvalid = 3, ///< A file is invalid; all its errors were printed.
+  ExitCutOff = 4   ///< The shutdown timed out and cut off requests.
 };
 
 /**
  * Reads a whole file.
- * @param Path Its path.
- * @return Its content, or NotFound.
+ * @param Path Path of the file.
+ * @return Its content, or ErrorKind::NotFound when it cannot be read.
  */
 Result<std::string> readFile(const std::string &Path);
 
 /**
- * Reads and checks a settings file; prints faults to standard error.
- * @param Path Its path.
- * @param Program Whose settings.
- * @return The settings, or nothing.
+ * Reads and checks a settings file; prints errors to standard error.
+ * @param Path Path of the file.
+ * @param Program The program that the settings are for.
+ * @return The settings, or nothing when the file is unreadable or invalid.
  */
 std::optional<Settings> loadSettings(const std::string &Path,
                                      SettingOwner Program);
 
 /**
- * Keeps the heap small: one pool for all threads, and what is freed is given
- * back early. Hosts are small, and a process's threads allocate little at a
- * time. Call before any thread starts.
+ * Keeps the heap small: all threads share one arena of malloc, and freed memory
+ * returns to the kernel early. Hosts have little memory, and the threads of a
+ * process allocate little at a time. Call before any thread starts.
  */
 void keepHeapSmall();
 
-/** Blocks the signals below; call before any thread starts. */
+/** Blocks SIGTERM, SIGINT and SIGHUP for waitForSignal(), and ignores SIGPIPE.
+ * Call before any thread starts. */
 void blockStopSignals();
 
-/** What a process is told from outside. */
-enum class Told : uint8_t {
-  Stop,  ///< SIGTERM or SIGINT.
-  Reload ///< SIGHUP, or the settings file may have changed without a signal.
+/** What the main thread does after a signal or a poll of the settings file. */
+enum class SignalAction : uint8_t {
+  Stop,  ///< End the process: SIGTERM or SIGINT.
+  Reload ///< Check the settings file: SIGHUP, or no signal for a while.
 };
 
 /**
- * Waits for a signal, and wakes up now and then since the settings file may
- * change without one.
- * @return What is to be done.
+ * Waits for a signal, at most for the poll interval of the settings file, which
+ * may change without a signal.
+ * @return Stop or Reload; Reload also when no signal came.
  */
-Told waitForSignal();
+SignalAction waitForSignal();
 
 /**
- * Waits for the stop signal. Whenever the settings file has changed, it is read
- * and checked again; an invalid one changes nothing.
- * @param Path The settings file.
- * @param Program Whose settings.
- * @param Apply Takes settings that were changed and are valid.
+ * Reloads the settings file whenever it changes, until SIGTERM or SIGINT
+ * arrives. An invalid file is logged and otherwise ignored.
+ * @param Path Path of the settings file.
+ * @param Program The program that the settings are for.
+ * @param Apply Called with each new valid version of the settings.
  */
 void waitForStop(const std::string &Path, SettingOwner Program,
                  const std::function<void(const Settings &)> &Apply);
 
 /**
- * Begins the log and writes its first line.
+ * Sets up the log and writes its first line.
  * @param Program Name and version, with a space between them.
- * @param Config Settings that say where lines go.
+ * @param Config Settings with the level and the destination of the log.
  */
 void beginLog(const std::string &Program, const Settings &Config);
 
 /**
- * Shuts the program down, with a line before and after, and ends the log. After
- * a shutdown that cut off work it ends the process at once with ExitCutOff: the
- * work still holds threads; ending them in order would wait for it after all
- * and the time limit of the shutdown would mean nothing.
- * @param Drain Ends the work; tells whether none was cut off.
+ * Shuts the program down, logs the start and the outcome, and ends the log.
+ * When the shutdown cut off requests, it exits the process at once with
+ * ExitCutOff: these requests still hold threads, and joining the threads would
+ * wait beyond the time limit of the shutdown.
+ * @param Drain Waits for requests in progress; returns false when it cut any
+ *        off.
  */
 void shutDown(const std::function<bool()> &Drain);
 
 /**
- * Makes a random incarnation.
- * @return Never 0.
+ * Draws the random incarnation that tells restarts of a process apart.
+ * @return A number other than 0.
  */
 uint64_t randomIncarnation();
 
 /**
- * Prints the line that tells which addresses are in use, as JSON.
- * @param Addresses Pairs of name and address.
+ * Prints a JSON line to standard output: the process is ready, and listens on
+ * these addresses.
+ * @param Addresses Pairs of listener name and address.
  */
 void announceReady(
     const std::vector<std::pair<std::string, std::string>> &Addresses);
--- a/packages/adapters/websocket/peer_links.h
+++ b/packages/adapters/websocket/peer_links.h
@@ -1,4 +1,4 @@
-/** @file peer_links.h PeerPort over websocket links and the CBOR codec. */
+/** @file peer_links.h PeerPort over websocket links with CBOR messages. */
 
 #ifndef JACINTHPOND_ADAPTERS_WEBSOCKET_PEER_LINKS_H
 #define JACINTHPOND_ADAPTERS_WEBSOCKET_PEER_LINKS_H
@@ -11,41 +11,46 @@
 
 namespace jacinthpond {
 
-/** Called on the network thread. */
+/** Handlers of link events, called on the network thread. */
 struct LinkCallbacks {
-  std::function<void(LinkId)> OnOpen;             ///< A link works.
-  std::function<void(LinkId)> OnClose;            ///< A link is gone.
-  std::function<void(LinkId, Message)> OnMessage; ///< A message arrived.
-  std::function<void(LinkId, Failure)> OnGarbage; ///< Unreadable frame.
+  std::function<void(LinkId)> OnOpen;                ///< A link is open.
+  std::function<void(LinkId)> OnClose;               ///< A link closed.
+  std::function<void(LinkId, Message)> OnMessage;    ///< A message arrived.
+  std::function<void(LinkId, Failure)> OnUnreadable; ///< A frame is no message.
 };
 
-/** Links that carry messages. */
+/** Opens and accepts links that carry messages. */
 class PeerLinks final : public PeerPort {
 public:
   /**
    * Starts the network thread.
-   * @param Handlers Where events go.
+   * @param Handlers Called for each event of a link.
    */
   explicit PeerLinks(LinkCallbacks Handlers)
       : Callbacks(std::move(Handlers)),
         Node({[this](uint64_t n) { Callbacks.OnOpen(LinkId{n}); },
               [this](uint64_t n) { Callbacks.OnClose(LinkId{n}); },
               [this](uint64_t n, const std::string &Bytes) {
-                take(n, Bytes);
+                handleFrame(n, Bytes);
               }}) {}
 
   /**
-   * Accepts links.
-   * @param At "IP:port"; port 0 lets the kernel choose.
-   * @return The address in use; empty when it cannot be had.
+   * Listens for links of other processes.
+   * @param ListenAddress "IP:port"; port 0 lets the kernel choose.
+   * @return The address in use; empty when it cannot be bound.
    */
-  std::string listen(const std::string &At) { return Node.listen(At); }
+  std::string listen(const std::string &ListenAddress) {
+    return Node.listen(ListenAddress);
+  }
 
   /**
-   * Closes all links after what was sent, and waits for the other ends.
+   * Sends everything that is queued, closes all links and waits until the peers
+   * have closed them too.
    * @param Limit Longest wait.
    */
-  void finish(Millis Limit) { Node.finish(static_cast<long>(Limit.count())); }
+  void finish(Millis Limit) {
+    Node.closeGracefully(static_cast<long>(Limit.count()));
+  }
 
   void open(LinkId Link, const Address &To) override {
     Node.open(Link.Value, To.Value);
@@ -55,24 +60,25 @@
   }
 
   /**
-   * Gives how much of what was sent the network has not taken yet.
-   * @param Link Which link.
-   * @return Bytes; 0 for a link that is gone.
+   * Gives the number of bytes that are queued for sending on a link.
+   * @param Link The link.
+   * @return Bytes; 0 for a link that is closed.
    */
   uint64_t backlog(LinkId Link) { return Node.backlog(Link.Value); }
   void close(LinkId Link) override { Node.close(Link.Value); }
 
 private:
-  void take(uint64_t n, const std::string &Bytes) {
+  /** Decodes a frame and passes the message, or the failure, on. */
+  void handleFrame(uint64_t n, const std::string &Bytes) {
     auto Read = outcomeOf([&] { return decodeMessage(Bytes); });
     if (Read.Value)
       Callbacks.OnMessage(LinkId{n}, std::move(*Read.Value));
     else
-      Callbacks.OnGarbage(LinkId{n}, Read.Why);
+      Callbacks.OnUnreadable(LinkId{n}, Read.Why);
   }
 
   LinkCallbacks Callbacks;
-  PeerNode Node; ///< Last member: its thread uses the others.
+  PeerNode Node; ///< Declared last: its thread uses the members above.
 };
 
 } // namespace jacinthpond
--- a/packages/adapters/websocket/peer_node.cpp
+++ b/packages/adapters/websocket/peer_node.cpp
@@ -17,24 +17,27 @@
 
 namespace {
 
-/** Largest frame taken: a chunk of 8 MiB with its envelope. */
+/** Largest frame that is received: a chunk of 8 MiB with its envelope. */
 constexpr size_t MaxFrameBytes = (8U << 20U) + 65536;
-/** First number for accepted links; equals FirstAcceptedLink. */
+/** Number of the first accepted link; must equal FirstAcceptedLink. */
 constexpr uint64_t FirstAccepted = uint64_t{1} << 32U;
-/** How long opening a link and its handshake may take, in milliseconds. */
+/** Longest time for connecting and the websocket handshake, in milliseconds. */
 constexpr long OpenTimeoutMillis = 2000;
-/** Pending connections that the kernel keeps for us. */
+/** Pending connections that the kernel queues until they are accepted. */
 constexpr int ListenBacklog = 512;
 
-/** Bytes read from a link at a time. The library's 16 KiB a link would be
- * most of the memory of an entry with links to hundreds of agents. */
+/** Size of the read buffer of each link. With the library's default of 16 KiB,
+ * the buffers would take most of the memory of an entry that has links to
+ * hundreds of agents. */
 constexpr size_t LinkReadBytes = 2048;
 
+/** Settings of the library for accepted links. */
 struct ServerConfig : websocketpp::config::asio {
   static const size_t connection_read_buffer_size = LinkReadBytes; // NOLINT
   static const size_t max_message_size = MaxFrameBytes;            // NOLINT
 };
 
+/** Settings of the library for opened links. */
 struct ClientConfig : websocketpp::config::asio_client {
   static const size_t connection_read_buffer_size = LinkReadBytes; // NOLINT
   static const size_t max_message_size = MaxFrameBytes;            // NOLINT
@@ -44,43 +47,49 @@
 using Client = websocketpp::client<ClientConfig>;
 using Handle = websocketpp::connection_hdl;
 
-/** Splits "IP:port". */
-std::pair<std::string, std::string> splitAddress(const std::string &At) {
-  const size_t Colon = At.rfind(':');
+/** Splits "IP:port" into its parts; the port is "0" when there is none. */
+std::pair<std::string, std::string>
+splitAddress(const std::string &HostAndPort) {
+  const size_t Colon = HostAndPort.rfind(':');
   if (Colon == std::string::npos)
-    return {At, "0"};
-  return {At.substr(0, Colon), At.substr(Colon + 1)};
+    return {HostAndPort, "0"};
+  return {HostAndPort.substr(0, Colon), HostAndPort.substr(Colon + 1)};
 }
 
-template <typename Endpoint> void setupEndpoint(Endpoint &One) {
-  One.clear_access_channels(websocketpp::log::alevel::all);
-  One.clear_error_channels(websocketpp::log::elevel::all);
-  One.set_open_handshake_timeout(OpenTimeoutMillis);
-  One.set_close_handshake_timeout(1);
+/** Turns the library's logging off and sets its handshake timeouts. */
+template <typename Endpoint> void configureEndpoint(Endpoint &Target) {
+  Target.clear_access_channels(websocketpp::log::alevel::all);
+  Target.clear_error_channels(websocketpp::log::elevel::all);
+  Target.set_open_handshake_timeout(OpenTimeoutMillis);
+  Target.set_close_handshake_timeout(1);
 }
 
 } // namespace
 
+/** Websocketpp endpoints, links and network thread of a PeerNode. */
 struct PeerNode::Impl {
   explicit Impl(PeerCallbacks Handlers)
-      : Callbacks(std::move(Handlers)), Work(boost::asio::make_work_guard(Io)) {
-    setupEndpoint(Accepting);
-    setupEndpoint(Opening);
-    Accepting.init_asio(&Io);
-    Accepting.set_reuse_addr(true);
-    Accepting.set_listen_backlog(ListenBacklog);
-    Opening.init_asio(&Io);
-    Opening.set_tcp_post_init_handler(
-        [this](const Handle &Link) { noDelay(Opening, Link); });
-    Accepting.set_tcp_post_init_handler(
-        [this](const Handle &Link) { noDelay(Accepting, Link); });
-    Accepting.set_open_handler([this](const Handle &Link) { accepted(Link); });
+      : Callbacks(std::move(Handlers)),
+        KeepRunning(boost::asio::make_work_guard(Io)) {
+    configureEndpoint(Acceptor);
+    configureEndpoint(Connector);
+    Acceptor.init_asio(&Io);
+    Acceptor.set_reuse_addr(true);
+    Acceptor.set_listen_backlog(ListenBacklog);
+    Connector.init_asio(&Io);
+    Connector.set_tcp_post_init_handler(
+        [this](const Handle &Link) { disableNagle(Connector, Link); });
+    Acceptor.set_tcp_post_init_handler(
+        [this](const Handle &Link) { disableNagle(Acceptor, Link); });
+    Acceptor.set_open_handler(
+        [this](const Handle &Link) { registerAccepted(Link); });
   }
 
+  /** Disables Nagle's algorithm on a link: small frames leave at once. */
   template <typename Endpoint>
-  static void noDelay(Endpoint &One, const Handle &Link) {
+  static void disableNagle(Endpoint &Target, const Handle &Link) {
     websocketpp::lib::error_code ec;
-    const auto Connection = One.get_con_from_hdl(Link, ec);
+    const auto Connection = Target.get_con_from_hdl(Link, ec);
     if (ec)
       return;
     boost::system::error_code Ignored;
@@ -88,9 +97,10 @@
         boost::asio::ip::tcp::no_delay(true), Ignored);
   }
 
-  void accepted(const Handle &Link) {
+  /** Numbers an accepted link, sets its handlers and reports it as open. */
+  void registerAccepted(const Handle &Link) {
     websocketpp::lib::error_code ec;
-    const auto Connection = Accepting.get_con_from_hdl(Link, ec);
+    const auto Connection = Acceptor.get_con_from_hdl(Link, ec);
     if (ec)
       return;
     uint64_t n = 0;
@@ -101,20 +111,25 @@
     }
     Connection->set_message_handler(
         [this, n](const Handle &, const Server::message_ptr &Frame) {
-          if (known(n))
+          if (isRegistered(n))
             Callbacks.OnBytes(n, Frame->get_payload());
         });
-    Connection->set_close_handler([this, n](const Handle &) { lost(n); });
-    Connection->set_fail_handler([this, n](const Handle &) { lost(n); });
+    Connection->set_close_handler(
+        [this, n](const Handle &) { handleClosed(n); });
+    Connection->set_fail_handler(
+        [this, n](const Handle &) { handleClosed(n); });
     Callbacks.OnOpen(n);
   }
 
-  bool known(uint64_t n) {
+  /** Says whether a link is still open or opening. */
+  bool isRegistered(uint64_t n) {
     const std::lock_guard Lock(Guard);
     return Accepted.count(n) > 0 || Opened.count(n) > 0;
   }
 
-  void lost(uint64_t n) {
+  /** Forgets a link that closed or failed, and reports it unless close() was
+   * called for it before. */
+  void handleClosed(uint64_t n) {
     {
       const std::lock_guard Lock(Guard);
       if (Accepted.erase(n) + Opened.erase(n) == 0)
@@ -123,9 +138,10 @@
     Callbacks.OnClose(n);
   }
 
+  /** Registers a new link and connects it on the network thread. */
   void open(uint64_t n, const std::string &To) {
     websocketpp::lib::error_code ec;
-    const auto Connection = Opening.get_connection("ws://" + To + "/", ec);
+    const auto Connection = Connector.get_connection("ws://" + To + "/", ec);
     if (ec) {
       boost::asio::post(Io, [this, n] { Callbacks.OnClose(n); });
       return;
@@ -135,31 +151,36 @@
       Opened[n] = Connection;
     }
     Connection->set_open_handler([this, n](const Handle &) {
-      if (known(n))
+      if (isRegistered(n))
         Callbacks.OnOpen(n);
     });
     Connection->set_message_handler(
         [this, n](const Handle &, const Client::message_ptr &Frame) {
-          if (known(n))
+          if (isRegistered(n))
             Callbacks.OnBytes(n, Frame->get_payload());
         });
-    Connection->set_close_handler([this, n](const Handle &) { lost(n); });
-    Connection->set_fail_handler([this, n](const Handle &) { lost(n); });
-    // Connecting belongs to the network thread, as all use of the endpoint.
-    boost::asio::post(Io, [this, Connection] { Opening.connect(Connection); });
+    Connection->set_close_handler(
+        [this, n](const Handle &) { handleClosed(n); });
+    Connection->set_fail_handler(
+        [this, n](const Handle &) { handleClosed(n); });
+    // The endpoint is used on the network thread only.
+    boost::asio::post(Io,
+                      [this, Connection] { Connector.connect(Connection); });
   }
 
+  /** Sends one binary frame; does nothing on a link that is no longer open. */
   template <typename Connection>
-  void sendOn(const Connection &Link, const std::string &Bytes) {
+  void sendFrame(const Connection &Link, const std::string &Bytes) {
     websocketpp::lib::error_code ec;
     ec = Link->send(Bytes, websocketpp::frame::opcode::binary);
   }
 
   /**
-   * Drops the socket under a connection. A close handshake would wait on a
-   * peer that may be frozen.
+   * Closes the socket of a connection without a close handshake, which would
+   * wait for a peer that may be unresponsive.
    */
-  template <typename Connection> static void drop(const Connection &Link) {
+  template <typename Connection>
+  static void closeSocket(const Connection &Link) {
     boost::system::error_code ec;
     Link->get_raw_socket().shutdown(boost::asio::socket_base::shutdown_both,
                                     ec);
@@ -168,12 +189,13 @@
 
   PeerCallbacks Callbacks;
   boost::asio::io_context Io;
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> Work;
-  Server Accepting;
-  Client Opening;
-  std::mutex Guard; ///< Guards the three members below.
-  std::map<uint64_t, Server::connection_ptr> Accepted;
-  std::map<uint64_t, Client::connection_ptr> Opened;
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
+      KeepRunning;
+  Server Acceptor;
+  Client Connector;
+  std::mutex Guard; ///< Guards Accepted, Opened and NextAccepted.
+  std::map<uint64_t, Server::connection_ptr> Accepted; ///< By link number.
+  std::map<uint64_t, Client::connection_ptr> Opened;   ///< By link number.
   uint64_t NextAccepted = FirstAccepted;
   std::thread Network;
 };
@@ -186,7 +208,7 @@
         Inner->Io.run();
         return;
       } catch (const std::exception &) {
-        // A handler of one connection failed; the others go on.
+        // A handler of one connection threw; the other links go on.
         continue;
       }
     }
@@ -198,17 +220,17 @@
   Inner->Network.join();
 }
 
-std::string PeerNode::listen(const std::string &At) {
-  const auto [Host, Port] = splitAddress(At);
+std::string PeerNode::listen(const std::string &ListenAddress) {
+  const auto [Host, Port] = splitAddress(ListenAddress);
   websocketpp::lib::error_code ec;
-  Inner->Accepting.listen(Host, Port, ec);
+  Inner->Acceptor.listen(Host, Port, ec);
   if (ec)
     return "";
-  Inner->Accepting.start_accept(ec);
+  Inner->Acceptor.start_accept(ec);
   if (ec)
     return "";
   boost::system::error_code Unused;
-  const auto Local = Inner->Accepting.get_local_endpoint(Unused);
+  const auto Local = Inner->Acceptor.get_local_endpoint(Unused);
   return Host + ":" + std::to_string(Local.port());
 }
 
@@ -229,9 +251,9 @@
         Out = it->second;
     }
     if (In)
-      Inner->sendOn(In, Content);
+      Inner->sendFrame(In, Content);
     if (Out)
-      Inner->sendOn(Out, Content);
+      Inner->sendFrame(Out, Content);
   });
 }
 
@@ -252,19 +274,19 @@
   }
   boost::asio::post(Inner->Io, [In, Out] {
     if (In)
-      Impl::drop(In);
+      Impl::closeSocket(In);
     if (Out)
-      Impl::drop(Out);
+      Impl::closeSocket(Out);
   });
 }
 
-void PeerNode::finish(long LimitMillis) {
-  // Ending the network thread drops what it has not written: the end of an
-  // answer would be lost. The close frame goes behind it, and the peer's reply
-  // shows that it has read that far.
+void PeerNode::closeGracefully(long TimeoutMillis) {
+  // Stopping the network thread discards frames that are still queued, such as
+  // the end of an answer. The close frame is sent after them, and the peer's
+  // close frame confirms that it has read them.
   boost::asio::post(Inner->Io, [this] {
     websocketpp::lib::error_code ec;
-    Inner->Accepting.stop_listening(ec); // Peers would connect again.
+    Inner->Acceptor.stop_listening(ec); // Peers would reconnect.
     std::map<uint64_t, Server::connection_ptr> In;
     std::map<uint64_t, Client::connection_ptr> Out;
     {
@@ -277,9 +299,9 @@
     for (const auto &[n, Link] : Out)
       Link->close(websocketpp::close::status::going_away, "", ec);
   });
-  const auto Limit =
-      std::chrono::steady_clock::now() + std::chrono::milliseconds(LimitMillis);
-  while (std::chrono::steady_clock::now() < Limit) {
+  const auto Deadline = std::chrono::steady_clock::now() +
+                        std::chrono::milliseconds(TimeoutMillis);
+  while (std::chrono::steady_clock::now() < Deadline) {
     {
       const std::lock_guard Lock(Inner->Guard);
       if (Inner->Accepted.empty() && Inner->Opened.empty())
--- a/packages/adapters/websocket/peer_node.h
+++ b/packages/adapters/websocket/peer_node.h
@@ -1,8 +1,8 @@
 /** @file peer_node.h Websocket links, behind a header without websocketpp.
  *
- * One thread of its own does all network work. A link is named by a number:
- * below FirstAcceptedLink by the process that opens it, above for accepted
- * ones. Strings carry bytes.
+ * A thread of its own does all network work. Each link has a number: the caller
+ * of open() chooses one below FirstAcceptedLink, and accepted links get numbers
+ * from FirstAcceptedLink on. Strings hold raw bytes.
  */
 
 #ifndef JACINTHPOND_ADAPTERS_WEBSOCKET_PEER_NODE_H
@@ -15,63 +15,64 @@
 
 namespace jacinthpond {
 
-/** Called on the network thread. */
+/** Handlers of link events, called on the network thread. */
 struct PeerCallbacks {
-  std::function<void(uint64_t)> OnOpen;  ///< A link works.
-  std::function<void(uint64_t)> OnClose; ///< A link is gone or never came.
+  std::function<void(uint64_t)> OnOpen;  ///< A link is open.
+  std::function<void(uint64_t)> OnClose; ///< A link closed or failed to open.
   std::function<void(uint64_t, std::string)> OnBytes; ///< A frame arrived.
 };
 
-/** All links of a process. Every call may be made from any thread. */
+/** Holds all links of a process. All functions are thread-safe. */
 class PeerNode {
 public:
   /**
    * Starts the network thread.
-   * @param Handlers Where events go.
+   * @param Handlers Called for each event of a link.
    */
   explicit PeerNode(PeerCallbacks Handlers);
-  /** Closes everything and ends the network thread. */
+  /** Stops the network thread and closes all links; queued frames are lost. */
   ~PeerNode();
   PeerNode(const PeerNode &) = delete;
   PeerNode &operator=(const PeerNode &) = delete;
 
   /**
-   * Accepts links.
-   * @param At "IP:port"; port 0 lets the kernel choose.
-   * @return "IP:port" with the port in use; empty when it cannot be had.
+   * Listens for links of other processes.
+   * @param ListenAddress "IP:port"; port 0 lets the kernel choose.
+   * @return "IP:port" with the port in use; empty when it cannot be bound.
    */
-  std::string listen(const std::string &At);
+  std::string listen(const std::string &ListenAddress);
 
   /**
    * Opens a link; OnOpen or OnClose follows.
-   * @param Link Number for it.
+   * @param Link Number of the new link.
    * @param To "IP:port".
    */
   void open(uint64_t Link, const std::string &To);
 
   /**
-   * Sends one frame; dropped when the link is gone.
-   * @param Link Over which link.
+   * Queues one frame for sending; it is discarded when the link is closed.
+   * @param Link The link.
    * @param Bytes Content.
    */
   void send(uint64_t Link, std::string Bytes);
 
   /**
-   * Drops a link at once; no event follows for it.
-   * @param Link Which link.
+   * Closes a link at once, without a handshake; no more events follow for it.
+   * @param Link The link.
    */
   void close(uint64_t Link);
 
   /**
-   * Closes all links after what was sent, and waits for the other ends.
-   * @param LimitMillis Longest wait; a frozen peer does not answer.
+   * Sends everything that is queued, closes all links and waits until the peers
+   * have closed them too.
+   * @param TimeoutMillis Longest wait; an unresponsive peer never closes.
    */
-  void finish(long LimitMillis);
+  void closeGracefully(long TimeoutMillis);
 
   /**
-   * Bytes accepted by send() that the network has not taken yet.
-   * @param Link Which link.
-   * @return Bytes; 0 for a link that is gone.
+   * Gives the number of bytes that are queued for sending on a link.
+   * @param Link The link.
+   * @return Bytes; 0 for a link that is closed.
    */
   uint64_t backlog(uint64_t Link);
 
