--- a/packages/adapters/log/log.cpp
+++ b/packages/adapters/log/log.cpp
@@ -1,4 +1,4 @@
-/** @file log.cpp Log lines by log4cxx. */
+/** @file log.cpp Structured log lines of named components, by log4cxx. */
 
 #include "log/log.h"
 
@@ -19,11 +19,13 @@
 
 namespace {
 
+/** Value of the field "part", in the order of LogPart. */
 constexpr std::array<const char *, static_cast<size_t>(LogPart::Count)>
-    PartPrefixes = {"main",    "config", "links",    "requests",
-                    "weights", "admin",  "admission"};
+    PartNames = {"main",    "config", "links",    "requests",
+                 "weights", "admin",  "admission"};
 
-log4cxx::LevelPtr levelOf(LogLevel Level) {
+/** Converts a level to the one of log4cxx. */
+log4cxx::LevelPtr toLog4cxxLevel(LogLevel Level) {
   switch (Level) {
   case LogLevel::Debug:
     return log4cxx::Level::getDebug();
@@ -37,14 +39,15 @@
   return log4cxx::Level::getError();
 }
 
-/** Lines that wait to be written. */
-constexpr int QueuedLines = 1024;
-/** Lines of level info or below in one second; above that they are counted. */
-constexpr uint64_t LinesPerSecond = 2000;
+/** Lines that wait to be written; beyond them, lines are discarded. */
+constexpr int QueueCapacityLines = 1024;
+/** Lines of level info or below that are written in one second. */
+constexpr uint64_t MaxInfoLinesPerSecond = 2000;
 
 /**
- * Says whether a line may be written. Under a flood of refusals the lines
- * would cost more than the refusals; warnings and errors are always written.
+ * Applies the limit on lines of level info or below; warnings and errors are
+ * always written. In an overload, logging each refusal would cost more than the
+ * refusal itself.
  */
 bool mayWrite(LogLevel Level) {
   if (Level == LogLevel::Warn || Level == LogLevel::Error)
@@ -56,11 +59,12 @@
                           .count();
   if (Second.exchange(Now) != Now)
     Written = 0;
-  return ++Written <= LinesPerSecond;
+  return ++Written <= MaxInfoLinesPerSecond;
 }
 
-/** Sentences become the text of a note; other lines are fields already. */
-std::string structured(const std::string &Text) {
+/** Turns a sentence into the fields of a note; other lines are fields already.
+ */
+std::string formatFields(const std::string &Text) {
   if (Text.starts_with("event="))
     return Text;
   std::string Quoted = Text;
@@ -77,11 +81,11 @@
   const auto Console = std::make_shared<log4cxx::ConsoleAppender>(
       Layout, ToStandardError ? log4cxx::ConsoleAppender::getSystemErr()
                               : log4cxx::ConsoleAppender::getSystemOut());
-  // Whoever reads the lines may be slow or stuck: a full queue drops lines, and
-  // tells in one line how many, instead of holding up requests.
+  // The reader of the output may be slow or blocked. A full queue discards
+  // lines and logs how many, instead of blocking requests.
   const auto Queue = std::make_shared<log4cxx::AsyncAppender>();
   Queue->setBlocking(false);
-  Queue->setBufferSize(QueuedLines);
+  Queue->setBufferSize(QueueCapacityLines);
   Queue->addAppender(Console);
   log4cxx::BasicConfigurator::configure(Queue);
   log4cxx::Logger::getRootLogger()->setLevel(
@@ -91,17 +95,18 @@
 void endLog() { log4cxx::LogManager::shutdown(); }
 
 void logLine(LogPart Part, LogLevel Level, const std::string &Text) {
-  // One logger a part, looked up once: look-ups take a lock in log4cxx.
+  // Each logger is looked up once: look-ups take a lock in log4cxx.
   static const auto Loggers = [] {
     std::array<log4cxx::LoggerPtr, static_cast<size_t>(LogPart::Count)> All;
     for (size_t n = 0; n < All.size(); ++n)
-      All.at(n) = log4cxx::Logger::getLogger(PartPrefixes.at(n));
+      All.at(n) = log4cxx::Logger::getLogger(PartNames.at(n));
     return All;
   }();
   const log4cxx::LoggerPtr &Logger = Loggers.at(static_cast<size_t>(Part));
-  if (!Logger->isEnabledFor(levelOf(Level)) || !mayWrite(Level))
+  if (!Logger->isEnabledFor(toLog4cxxLevel(Level)) || !mayWrite(Level))
     return;
-  Logger->forcedLog(levelOf(Level), structured(Text), LOG4CXX_LOCATION);
+  Logger->forcedLog(toLog4cxxLevel(Level), formatFields(Text),
+                    LOG4CXX_LOCATION);
 }
 
 } // namespace jacinthpond
--- a/packages/adapters/log/log.h
+++ b/packages/adapters/log/log.h
@@ -1,4 +1,4 @@
-/** @file log.h Log lines with a fixed prefix for each part, by log4cxx. */
+/** @file log.h Structured log lines of named components, by log4cxx. */
 
 #ifndef JACINTHPOND_ADAPTERS_LOG_LOG_H
 #define JACINTHPOND_ADAPTERS_LOG_LOG_H
@@ -10,24 +10,24 @@
 namespace jacinthpond {
 
 /**
- * Sends all lines to standard output, as fields "name=value", through a bounded
- * queue that never holds up its callers.
- * @param Process Name of this process, in each line.
+ * Sets the log up to write "name=value" fields to standard output. Lines pass
+ * through a bounded queue that never blocks the callers of logLine().
+ * @param Process Name of this process, written in each line.
  * @param Level Name of the lowest level that is written.
- * @param ToStandardError Whether they go to standard error instead.
+ * @param ToStandardError Whether to write to standard error instead.
  */
 void setupLog(const std::string &Process, const std::string &Level,
               bool ToStandardError);
 
-/** Writes what is queued; no line may follow. */
+/** Writes the queued lines and shuts the log down; no line may follow. */
 void endLog();
 
 /**
- * Writes one line.
- * @param Part Which part speaks.
- * @param Level How much it matters.
- * @param Text Fields that begin with "event=", or a short sentence; never a
- *        token or key of anybody.
+ * Queues one line; thread-safe.
+ * @param Part Component that the line comes from.
+ * @param Level Severity.
+ * @param Text Fields that begin with "event=", or a short sentence; must
+ *        not contain tokens or keys.
  */
 void logLine(LogPart Part, LogLevel Level, const std::string &Text);
 
--- a/packages/adapters/metrics/metrics_page.cpp
+++ b/packages/adapters/metrics/metrics_page.cpp
@@ -1,4 +1,4 @@
-/** @file metrics_page.cpp Counters, gauges and the text of a metrics page. */
+/** @file metrics_page.cpp Building, access filter and text of metrics pages. */
 
 #include "metrics/metrics_page.h"
 
@@ -19,13 +19,14 @@
 constexpr const char *TenantLabel = "tenant";
 constexpr const char *ClassLabel = "class";
 
-/** Gives a label's value, or empty. */
-std::string labelOf(const ClientMetric &Series, const char *Name) {
+/** Gives the value of a series' label; empty when it has none. */
+std::string labelValue(const ClientMetric &Series, const char *Name) {
   const auto it = std::ranges::find(Series.label, std::string(Name),
                                     &ClientMetric::Label::name);
   return it == Series.label.end() ? "" : it->value;
 }
 
+/** Adds the counts of a histogram to another one with the same buckets. */
 void addHistogram(ClientMetric &Into, const ClientMetric &From) {
   Into.histogram.sample_count += From.histogram.sample_count;
   Into.histogram.sample_sum += From.histogram.sample_sum;
@@ -34,7 +35,7 @@
         From.histogram.bucket.at(n).cumulative_count;
 }
 
-/** Sums a family of histograms over its tenants. */
+/** Sums a family of histograms over its workspaces. */
 MetricFamily sumTenants(const MetricFamily &All) {
   MetricFamily Summed = All;
   Summed.metric.clear();
@@ -52,14 +53,16 @@
   return Summed;
 }
 
-bool mayRead(const TeamAccess &Access, const ClientMetric &Series) {
-  return seesTenant(Access, TenantName{labelOf(Series, TenantLabel)}) &&
-         seesClass(Access, ClassName{labelOf(Series, ClassLabel)});
+/** Says whether a team may see the workspace and the class of a series. */
+bool maySeeSeries(const TeamAccess &Access, const ClientMetric &Series) {
+  return seesTenant(Access, TenantName{labelValue(Series, TenantLabel)}) &&
+         seesClass(Access, ClassName{labelValue(Series, ClassLabel)});
 }
 
+/** Says whether the series of a family have a workspace label. */
 bool namesTenants(const MetricFamily &Family) {
   return !Family.metric.empty() &&
-         !labelOf(Family.metric.front(), TenantLabel).empty();
+         !labelValue(Family.metric.front(), TenantLabel).empty();
 }
 
 } // namespace
@@ -107,7 +110,7 @@
     }
     MetricFamily Own = Family;
     std::erase_if(Own.metric, [&](const ClientMetric &Series) {
-      return !mayRead(*Access.Value, Series);
+      return !maySeeSeries(*Access.Value, Series);
     });
     Shown.push_back(std::move(Own));
   }
--- a/packages/adapters/metrics/metrics_page.h
+++ b/packages/adapters/metrics/metrics_page.h
@@ -1,4 +1,4 @@
-/** @file metrics_page.h Counters, gauges and the text of a metrics page. */
+/** @file metrics_page.h Building, access filter and text of metrics pages. */
 
 #ifndef JACINTHPOND_ADAPTERS_METRICS_METRICS_PAGE_H
 #define JACINTHPOND_ADAPTERS_METRICS_METRICS_PAGE_H
@@ -14,27 +14,27 @@
 
 namespace jacinthpond {
 
-/** Families in the order of the page. */
+/** Metric families in the order of the page. */
 using MetricFamilies = std::vector<prometheus::MetricFamily>;
 
 /** Name and help of a metric. */
 struct MetricSpec {
   const char *Name; ///< Metric name.
-  const char *Help; ///< Text for the page.
+  const char *Help; ///< Help text on the page.
 };
 
-/** One value with its labels. */
+/** One value of a metric with its labels. */
 struct LabelledValue {
-  std::map<std::string, std::string> Labels; ///< Name and value.
-  double Value = 0;                          ///< What is told.
+  std::map<std::string, std::string> Labels; ///< Label names and values.
+  double Value = 0;                          ///< Value of the counter or gauge.
 };
 
 /**
- * Adds a family.
- * @param Into Where.
+ * Adds a family of counters or gauges to a page.
+ * @param Into The page.
  * @param Type Counter or Gauge.
  * @param Spec Name and help.
- * @param Values Its series.
+ * @param Values One series for each.
  */
 void addFamily(MetricFamilies &Into, prometheus::MetricType Type,
                const MetricSpec &Spec,
@@ -42,29 +42,30 @@
 
 /**
  * Adds a family with one series for each error kind that occurred.
- * @param Into Where.
+ * @param Into The page.
  * @param Spec Name and help.
- * @param Counts Count of each kind.
+ * @param Counts Number of errors of each kind.
  */
 void addErrorCounts(MetricFamilies &Into, const MetricSpec &Spec,
                     const std::map<ErrorKind, uint64_t> &Counts);
 
 /**
- * Leaves of a page what its reader may see. Without a team's token all
- * tenants are summed up, so that nobody reads the load of a customer from a
- * page that is open to the monitoring system.
- * @param All Everything.
+ * Filters a page by what its reader may see. Without a team's token, series are
+ * summed over all workspaces: the page is open to the monitoring system and
+ * must not reveal the load of a customer.
+ * @param All The whole page.
  * @param Doc Document in force; may be null.
- * @param Authorization Header of the reader; may be empty or wrong.
- * @return Series of the reader's tenants and classes; sums over tenants for
- *         a reader without a team.
+ * @param Authorization Value of the reader's Authorization header; may be empty
+ *        or invalid.
+ * @return Series of the workspaces and classes that the reader's team may see;
+ *         sums over workspaces for a reader without a valid token.
  */
 MetricFamilies visibleTo(const MetricFamilies &All, const Document *Doc,
                          const std::string &Authorization);
 
 /**
- * Writes a page.
- * @param All Its families.
+ * Serializes a page.
+ * @param All Families of the page.
  * @return Prometheus' text format.
  */
 std::string metricsText(const MetricFamilies &All);
--- a/packages/adapters/metrics/table/timing_table.h
+++ b/packages/adapters/metrics/table/timing_table.h
@@ -9,28 +9,30 @@
 
 namespace jacinthpond {
 
-/** What is timed. */
+/** Durations that are measured. */
 enum class Timing : uint8_t {
-  FirstToken,    ///< Request until first piece, at the entry.
-  BetweenTokens, ///< Between two pieces, at the entry.
-  Whole,         ///< Request until the end of its answer, at the entry.
-  Queued,        ///< Waiting at the agent until the back end got it.
-  Count          ///< Number of timings; not a timing.
+  FirstToken,    ///< Request to first piece of its answer, at the entry.
+  BetweenTokens, ///< Between two pieces of an answer, at the entry.
+  Whole,         ///< Request to the end of its answer, at the entry.
+  Queued,        ///< Wait of an attempt at the agent for its back end.
+  Count          ///< Number of enumerators.
 };
 
-/** Bounds of a histogram. */
-constexpr size_t TimingBounds = 10;
+/** Buckets of each histogram. */
+constexpr size_t BucketsPerTiming = 10;
 
 /** Describes one histogram. */
 struct TimingSpec {
-  Timing What;                             ///< Which timing.
-  const char *Name;                        ///< Metric name.
-  const char *Help;                        ///< Text for the page.
-  std::array<double, TimingBounds> Bounds; ///< Upper bounds in seconds.
+  Timing What;      ///< Duration that it observes.
+  const char *Name; ///< Metric name.
+  const char *Help; ///< Help text on the metrics page.
+  std::array<double, BucketsPerTiming>
+      Bounds; ///< Upper bounds of the buckets, in seconds.
 };
 
-/** The targets of 1.4 s and 41 ms are bounds, so that a query reads off the
- * share of answers within them. */
+/** Histograms in the order of Timing. The latency targets of 1.4 s and 41 ms
+ * are bucket bounds, so that a query can give the exact share of answers within
+ * them. */
 constexpr std::array<TimingSpec, static_cast<size_t>(Timing::Count)>
     TimingTable = {{
         {Timing::FirstToken,
--- a/packages/adapters/metrics/traffic_metrics.cpp
+++ b/packages/adapters/metrics/traffic_metrics.cpp
@@ -1,4 +1,4 @@
-/** @file traffic_metrics.cpp Histograms per tenant and class. */
+/** @file traffic_metrics.cpp Latency histograms per workspace and class. */
 
 #include "metrics/traffic_metrics.h"
 
@@ -11,13 +11,13 @@
 namespace {
 
 /**
- * Gives the label of a name: its own when the document lists it among the
- * first names, else the shared one.
+ * Gives the label of a name: the name itself when it is among the first entries
+ * of the document's list, otherwise OtherLabel.
  */
 template <typename List, typename Id>
-std::string labelIn(const List &All, const Id &Name, size_t Bound) {
-  const auto End =
-      All.begin() + static_cast<std::ptrdiff_t>(std::min(Bound, All.size()));
+std::string limitedLabel(const List &All, const Id &Name, size_t MaxLabels) {
+  const auto End = All.begin() +
+                   static_cast<std::ptrdiff_t>(std::min(MaxLabels, All.size()));
   const auto it = std::find_if(
       All.begin(), End, [&](const auto &One) { return One.Name == Name; });
   return it == End ? OtherLabel : Name.Value;
@@ -25,36 +25,38 @@
 
 } // namespace
 
-TrafficMetrics::Labels TrafficMetrics::labelsOf(const Document *Doc,
-                                                const TenantName &Tenant,
-                                                const ClassName &Class) const {
+TrafficMetrics::Labels TrafficMetrics::labelsFor(const Document *Doc,
+                                                 const TenantName &Tenant,
+                                                 const ClassName &Class) const {
   if (Doc == nullptr)
     return {OtherLabel, OtherLabel};
-  return {labelIn(Doc->Tenants, Tenant, MaxTenantLabels),
-          labelIn(Doc->Classes, Class, MaxClassLabels)};
+  return {limitedLabel(Doc->Tenants, Tenant, MaxTenantLabels),
+          limitedLabel(Doc->Classes, Class, MaxClassLabels)};
 }
 
-void TrafficMetrics::observe(Timing What, const Document *Doc,
+void TrafficMetrics::observe(Timing Kind, const Document *Doc,
                              const TenantName &Tenant, const ClassName &Class,
-                             Seconds Took) {
-  observeAs(labelsOf(Doc, Tenant, Class), What, Took);
+                             Seconds Duration) {
+  observeSeries(labelsFor(Doc, Tenant, Class), Kind, Duration);
 }
 
-void TrafficMetrics::observeService(Timing What, const std::string &Service,
-                                    Seconds Took) {
-  observeAs({OtherLabel, Service}, What, Took);
+void TrafficMetrics::observeService(Timing Kind, const std::string &Service,
+                                    Seconds Duration) {
+  observeSeries({OtherLabel, Service}, Kind, Duration);
 }
 
-void TrafficMetrics::observeAs(Labels Key, Timing What, Seconds Took) {
+void TrafficMetrics::observeSeries(Labels Key, Timing Kind, Seconds Duration) {
   const std::lock_guard Lock(Guard);
-  // Documents replace names over time: without this bound the series of all
-  // names that ever were would stay.
-  if (!Known.contains(Key) && Known.size() >= MaxTenantLabels * MaxClassLabels)
+  // Later documents bring other names, and series are never removed: without
+  // this limit, their number would grow with each new name.
+  if (!SeriesByLabels.contains(Key) &&
+      SeriesByLabels.size() >= MaxTenantLabels * MaxClassLabels)
     Key = {OtherLabel, OtherLabel};
   prometheus::Histogram *&Series =
-      Known.try_emplace(Key).first->second.at(static_cast<size_t>(What));
+      SeriesByLabels.try_emplace(Key).first->second.at(
+          static_cast<size_t>(Kind));
   if (Series == nullptr) {
-    const TimingSpec &Spec = TimingTable.at(static_cast<size_t>(What));
+    const TimingSpec &Spec = TimingTable.at(static_cast<size_t>(Kind));
     auto &Family =
         prometheus::BuildHistogram().Name(Spec.Name).Help(Spec.Help).Register(
             Registry);
@@ -62,7 +64,7 @@
                          prometheus::Histogram::BucketBoundaries(
                              Spec.Bounds.begin(), Spec.Bounds.end()));
   }
-  Series->Observe(Took.count());
+  Series->Observe(Duration.count());
 }
 
 std::vector<prometheus::MetricFamily> TrafficMetrics::collect() const {
--- a/packages/adapters/metrics/traffic_metrics.h
+++ b/packages/adapters/metrics/traffic_metrics.h
@@ -1,4 +1,4 @@
-/** @file traffic_metrics.h Histograms per tenant and class. */
+/** @file traffic_metrics.h Latency histograms per workspace and class. */
 
 #ifndef JACINTHPOND_ADAPTERS_METRICS_TRAFFIC_METRICS_H
 #define JACINTHPOND_ADAPTERS_METRICS_TRAFFIC_METRICS_H
@@ -20,58 +20,63 @@
 
 namespace jacinthpond {
 
-/** Tenants with series of their own; all others share one. */
+/** Workspaces with series of their own; all others share one. */
 constexpr size_t MaxTenantLabels = 64;
-/** Classes with series of their own. */
+/** Classes with series of their own; all others share one. */
 constexpr size_t MaxClassLabels = 32;
-/** Label of everything beyond the bounds. */
+/** Label of the shared series. */
 constexpr const char *OtherLabel = "other";
 
-/** A span of time for histograms. */
+/** Duration that a histogram observes. */
 using Seconds = std::chrono::duration<double>;
 
-/** Observes timings; safe from any thread. */
+/** Records latencies in histograms; thread-safe. */
 class TrafficMetrics {
 public:
   /**
-   * Notes one timing.
-   * @param What Which timing.
-   * @param Doc Document in force; names that it lacks count as "other", so
-   *        that callers cannot make up series.
-   * @param Tenant Whose request it was.
-   * @param Class Class of work.
-   * @param Took How long it took.
+   * Records one latency of a request.
+   * @param Kind The timing that was measured.
+   * @param Doc Document in force; may be null. Names that it does not contain
+   *        count as "other", so that callers cannot create series.
+   * @param Tenant Workspace of the request.
+   * @param Class Class of the request.
+   * @param Duration Measured duration.
    */
-  void observe(Timing What, const Document *Doc, const TenantName &Tenant,
-               const ClassName &Class, Seconds Took);
+  void observe(Timing Kind, const Document *Doc, const TenantName &Tenant,
+               const ClassName &Class, Seconds Duration);
 
   /**
-   * Notes one timing of requests on routes, by service alone: a series for
-   * each route and tenant would cost more memory than all connections.
-   * @param What Which timing.
+   * Records one latency of a request on a route, by its service only: series
+   * for each route and workspace would take more memory than all connections.
+   * @param Kind The timing that was measured.
    * @param Service Service that answered.
-   * @param Took How long it took.
+   * @param Duration Measured duration.
    */
-  void observeService(Timing What, const std::string &Service, Seconds Took);
+  void observeService(Timing Kind, const std::string &Service,
+                      Seconds Duration);
 
   /**
-   * Collects all series.
-   * @return Families for the page.
+   * Collects all histograms.
+   * @return Families for the metrics page.
    */
   std::vector<prometheus::MetricFamily> collect() const;
 
 private:
+  /** Values of the labels "tenant" and "class". */
   using Labels = std::pair<std::string, std::string>;
-  using Row =
+  /** Histograms by Timing; null until the first observation. */
+  using HistogramRow =
       std::array<prometheus::Histogram *, static_cast<size_t>(Timing::Count)>;
 
-  void observeAs(Labels Key, Timing What, Seconds Took);
-  Labels labelsOf(const Document *Doc, const TenantName &Tenant,
-                  const ClassName &Class) const;
+  /** Records a duration in the series with these labels, created if needed. */
+  void observeSeries(Labels Key, Timing Kind, Seconds Duration);
+  /** Gives the labels of a request, with names beyond the limits as "other". */
+  Labels labelsFor(const Document *Doc, const TenantName &Tenant,
+                   const ClassName &Class) const;
 
   prometheus::Registry Registry;
-  std::mutex Guard; ///< Guards Known.
-  std::map<Labels, Row> Known;
+  std::mutex Guard; ///< Guards SeriesByLabels.
+  std::map<Labels, HistogramRow> SeriesByLabels;
 };
 
 } // namespace jacinthpond
