--- a/packages/adapters/http/event_parser.cpp
+++ b/packages/adapters/http/event_parser.cpp
@@ -1,4 +1,4 @@
-/** @file event_parser.cpp Reads an engine's event stream. */
+/** @file event_parser.cpp Parser of an engine's event stream. */
 
 #include "http/event_parser.h"
 
@@ -10,12 +10,12 @@
 
 namespace {
 
-/** Longest line; an engine that never ends one must not fill the memory. */
+/** Longest line; an engine that never ends a line must not exhaust memory. */
 constexpr size_t MaxLineBytes = 1 << 20;
 
 } // namespace
 
-bool EventParser::takeLine(const std::string &Line) {
+bool EventParser::parseLine(const std::string &Line) {
   static const std::string Prefix = "data: ";
   if (Line.compare(0, Prefix.size(), Prefix) != 0)
     return true;
@@ -36,11 +36,11 @@
     return false;
   Buffer.append(Data, n);
   size_t Start = 0;
-  for (size_t Stop = Buffer.find('\n'); Stop != std::string::npos;
-       Stop = Buffer.find('\n', Start)) {
-    const bool Wanted = takeLine(Buffer.substr(Start, Stop - Start));
-    Start = Stop + 1;
-    if (!Wanted) {
+  for (size_t LineEnd = Buffer.find('\n'); LineEnd != std::string::npos;
+       LineEnd = Buffer.find('\n', Start)) {
+    const bool Continue = parseLine(Buffer.substr(Start, LineEnd - Start));
+    Start = LineEnd + 1;
+    if (!Continue) {
       Cancelled = true;
       return false;
     }
--- a/packages/adapters/http/event_parser.h
+++ b/packages/adapters/http/event_parser.h
@@ -1,4 +1,4 @@
-/** @file event_parser.h Reads an engine's event stream. */
+/** @file event_parser.h Parser of an engine's event stream. */
 
 #ifndef JACINTHPOND_ADAPTERS_HTTP_EVENT_PARSER_H
 #define JACINTHPOND_ADAPTERS_HTTP_EVENT_PARSER_H
@@ -11,24 +11,26 @@
 
 namespace jacinthpond {
 
-/** Reads events line by line, however the stream is cut into pieces. */
+/** Parses server-sent events line by line, across the boundaries of the pieces
+ * that arrive. */
 struct EventParser {
-  const std::function<bool(Digest)> &OnBegin;      ///< Takes the weights.
-  const std::function<bool(std::string)> &OnToken; ///< Takes a token.
-  std::string Buffer;                              ///< Unfinished line.
-  std::optional<EngineEnd> End;                    ///< Set by the last event.
-  bool Cancelled = false; ///< A taker said stop, or the stream is no good.
+  const std::function<bool(Digest)> &OnBegin;      ///< Gets the weights.
+  const std::function<bool(std::string)> &OnToken; ///< Gets a token.
+  std::string Buffer;                              ///< Incomplete last line.
+  std::optional<EngineEnd> End;                    ///< Set by the final event.
+  bool Cancelled = false; ///< A callback returned false, or invalid stream.
 
   /**
-   * Reads the next bytes.
-   * @param Data Where they are.
-   * @param n How many.
-   * @return False when no more are wanted.
+   * Parses the next bytes of the stream.
+   * @param Data The bytes.
+   * @param n Number of bytes.
+   * @return False when the stream is to be closed.
    */
   bool take(const char *Data, size_t n);
 
 private:
-  bool takeLine(const std::string &Line);
+  /** Handles one line; false when the stream is to be closed. */
+  bool parseLine(const std::string &Line);
 };
 
 } // namespace jacinthpond
--- a/packages/adapters/http/guarded_server.cpp
+++ b/packages/adapters/http/guarded_server.cpp
@@ -1,4 +1,4 @@
-/** @file guarded_server.cpp A listener that slow callers cannot hold up. */
+/** @file guarded_server.cpp HTTP server that slow callers cannot block. */
 
 #include "http/guarded_server.h"
 
@@ -14,30 +14,33 @@
 namespace {
 
 /** Requests on one connection before it is closed. */
-constexpr uint32_t MaxServed = 1000;
-/** Time that one answer may wait, in all, for a caller that does not read. */
+constexpr uint32_t MaxRequestsPerConnection = 1000;
+/** Total time that one answer may wait for a caller that does not read. */
 constexpr Millis MaxWriteStall{10000};
-/** Longest wait for answers under way when the listener ends. */
-constexpr Millis FinishTime{5000};
-constexpr Millis FinishPoll{5};
+/** Longest wait for requests in progress when the listener stops. */
+constexpr Millis FinishTimeout{5000};
+/** Time between two checks whether all requests have ended. */
+constexpr Millis FinishPollInterval{5};
 
-/** Connection that the thread serves; -1: none. */
+/** Connection of the request that this thread serves; -1: none. */
 thread_local int ServedSocket = -1;
 
-bool peerGone(int Socket) {
+/** Says whether the peer has closed or reset the connection. */
+bool isPeerClosed(int Socket) {
   char c = 0;
   const ssize_t n = recv(Socket, &c, 1, MSG_PEEK | MSG_DONTWAIT);
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-/** Gives the library a request from memory and writes to the connection. */
+/** Stream of the library that reads a received request from memory and writes
+ * the answer to its connection. */
 class RequestStream final : public httplib::Stream {
 public:
   RequestStream(int Connection, const std::string &Whole)
       : Socket(Connection), Request(Whole) {}
 
   bool is_readable() const override { return Next < Request.size(); }
-  bool is_writable() const override { return !Failed && !peerGone(Socket); }
+  bool is_writable() const override { return !Failed && !isPeerClosed(Socket); }
 
   ssize_t read(char *Into, size_t Size) override {
     const size_t n = std::min(Size, Request.size() - Next);
@@ -54,7 +57,7 @@
       if (n > 0)
         Done += static_cast<size_t>(n);
       else
-        Failed = errno != EAGAIN || !waitForRoom();
+        Failed = errno != EAGAIN || !waitUntilWritable();
     }
     return Failed ? -1 : static_cast<ssize_t>(Size);
   }
@@ -63,18 +66,19 @@
     sockaddr_in At{};
     socklen_t Size = sizeof(At);
     getpeername(Socket, reinterpret_cast<sockaddr *>(&At), &Size);
-    tell(At, Ip, Port);
+    formatAddress(At, Ip, Port);
   }
   void get_local_ip_and_port(std::string &Ip, int &Port) const override {
     sockaddr_in At{};
     socklen_t Size = sizeof(At);
     getsockname(Socket, reinterpret_cast<sockaddr *>(&At), &Size);
-    tell(At, Ip, Port);
+    formatAddress(At, Ip, Port);
   }
   socket_t socket() const override { return Socket; }
 
 private:
-  static void tell(const sockaddr_in &At, std::string &Ip, int &Port) {
+  /** Converts a socket address to an IP and a port. */
+  static void formatAddress(const sockaddr_in &At, std::string &Ip, int &Port) {
     std::array<char, INET_ADDRSTRLEN> Text{};
     inet_ntop(AF_INET, &At.sin_addr, Text.data(), Text.size());
     Ip = Text.data();
@@ -82,51 +86,54 @@
   }
 
   /**
-   * Waits until the caller reads. The time counts over the whole answer: one
-   * that reads a byte now and then would otherwise hold the thread for ever.
+   * Waits until the socket can take more bytes; false when the time is up.
+   * The time limit covers the whole answer: a caller that reads a byte now and
+   * then would otherwise hold the thread forever.
    */
-  bool waitForRoom() {
+  bool waitUntilWritable() {
     const auto Before = std::chrono::steady_clock::now();
-    pollfd Room{Socket, POLLOUT, 0};
-    const int n = poll(&Room, 1, static_cast<int>(StallLeft.count()));
+    pollfd Poll{Socket, POLLOUT, 0};
+    const int n = poll(&Poll, 1, static_cast<int>(StallLeft.count()));
     StallLeft -= toMillis(std::chrono::steady_clock::now() - Before);
     return n > 0 && StallLeft.count() > 0;
   }
 
   const int Socket;
   const std::string &Request;
-  size_t Next = 0; ///< First byte of Request that was not read.
-  Millis StallLeft = MaxWriteStall;
+  size_t Next = 0; ///< Index of the next byte of Request to read.
+  Millis StallLeft = MaxWriteStall; ///< Time that is left for waiting.
   bool Failed = false;
 };
 
-/** Hands accepted connections over on the thread that accepted them. */
-class InlineQueue final : public httplib::TaskQueue {
+/** Task queue of the library that runs tasks at once, on the accepting thread:
+ * they only pass the connection to the receiver. */
+class InlineTaskQueue final : public httplib::TaskQueue {
 public:
   void enqueue(std::function<void()> Work) override { Work(); }
   void shutdown() override {}
 };
 
+/** Gives the receiver's share of a listener's limits. */
 ReceiverLimits receiverLimits(const ListenerLimits &Limits) {
-  ReceiverLimits Bounds;
-  Bounds.Request.MaxBodyBytes = Limits.MaxBodyBytes;
-  Bounds.ReadTimeout = Limits.ReadTimeout;
-  Bounds.MaxConnections = Limits.MaxConnections;
-  return Bounds;
+  ReceiverLimits Result;
+  Result.Request.MaxBodyBytes = Limits.MaxBodyBytes;
+  Result.ReadTimeout = Limits.ReadTimeout;
+  Result.MaxConnections = Limits.MaxConnections;
+  return Result;
 }
 
 } // namespace
 
-bool callerGone() { return ServedSocket >= 0 && peerGone(ServedSocket); }
+bool callerGone() { return ServedSocket >= 0 && isPeerClosed(ServedSocket); }
 
 GuardedServer::GuardedServer(const ListenerLimits &Limits)
-    : MaxActive(Limits.Threads + Limits.MaxQueued),
+    : MaxActiveRequests(Limits.Threads + Limits.MaxQueued),
       Threads(std::make_unique<httplib::ThreadPool>(Limits.Threads)),
       Receiver(std::make_unique<RequestReceiver>(
           receiverLimits(Limits),
-          [this](Received One) { take(std::move(One)); })) {
-  setupServer(*this, Limits);
-  new_task_queue = [] { return new InlineQueue; };
+          [this](ReceivedRequest Pending) { dispatch(std::move(Pending)); })) {
+  configureServer(*this, Limits);
+  new_task_queue = [] { return new InlineTaskQueue; };
 }
 
 GuardedServer::~GuardedServer() {
@@ -134,13 +141,13 @@
   Threads->shutdown();
 }
 
-void GuardedServer::finish(std::thread &Accepting) {
-  const auto Limit = std::chrono::steady_clock::now() + FinishTime;
-  while (Active > 0 && std::chrono::steady_clock::now() < Limit)
-    std::this_thread::sleep_for(FinishPoll);
+void GuardedServer::finish(std::thread &AcceptThread) {
+  const auto Deadline = std::chrono::steady_clock::now() + FinishTimeout;
+  while (ActiveRequests > 0 && std::chrono::steady_clock::now() < Deadline)
+    std::this_thread::sleep_for(FinishPollInterval);
   stop();
-  if (Accepting.joinable())
-    Accepting.join();
+  if (AcceptThread.joinable())
+    AcceptThread.join();
 }
 
 bool GuardedServer::process_and_close_socket(socket_t sock) {
@@ -148,35 +155,36 @@
   return true;
 }
 
-void GuardedServer::take(Received One) {
-  // A request that waited for a thread behind long answers would be held back
-  // without a word; refused, its caller can go to another entry.
-  if (Active >= MaxActive) {
-    answerRefused(One.Socket, {ErrorKind::Overloaded, "no thread is free", {}});
-    close(One.Socket);
+void GuardedServer::dispatch(ReceivedRequest Pending) {
+  // Behind long answers, a request could wait for a thread without any
+  // response. When it is refused instead, its caller can try another entry.
+  if (ActiveRequests >= MaxActiveRequests) {
+    sendRefusal(Pending.Socket,
+                {ErrorKind::Overloaded, "no thread is free", {}});
+    close(Pending.Socket);
     return;
   }
-  ++Active;
-  Threads->enqueue([this, Kept = std::move(One)]() mutable {
-    serve(Kept);
-    --Active;
+  ++ActiveRequests;
+  Threads->enqueue([this, Request = std::move(Pending)]() mutable {
+    serveRequest(Request);
+    --ActiveRequests;
   });
 }
 
-void GuardedServer::serve(Received &One) {
-  const bool Last = One.Served + 1 >= MaxServed;
+void GuardedServer::serveRequest(ReceivedRequest &Pending) {
+  const bool LastRequest = Pending.Served + 1 >= MaxRequestsPerConnection;
   bool Closed = false;
-  RequestStream Stream(One.Socket, One.Request);
-  ServedSocket = One.Socket;
-  const bool Good =
-      process_request(Stream, Last, Closed, [](httplib::Request &) {});
+  RequestStream Stream(Pending.Socket, Pending.Request);
+  ServedSocket = Pending.Socket;
+  const bool Success =
+      process_request(Stream, LastRequest, Closed, [](httplib::Request &) {});
   ServedSocket = -1;
-  if (Good && !Closed && !Last) {
-    Receiver->add(One.Socket, std::move(One.Rest), One.Served + 1);
+  if (Success && !Closed && !LastRequest) {
+    Receiver->add(Pending.Socket, std::move(Pending.Rest), Pending.Served + 1);
     return;
   }
-  shutdown(One.Socket, SHUT_RDWR);
-  close(One.Socket);
+  shutdown(Pending.Socket, SHUT_RDWR);
+  close(Pending.Socket);
 }
 
 } // namespace jacinthpond
--- a/packages/adapters/http/http_backends.cpp
+++ b/packages/adapters/http/http_backends.cpp
@@ -1,4 +1,4 @@
-/** @file http_backends.cpp Back ends and platform over HTTP. */
+/** @file http_backends.cpp HTTP clients of back ends and platform services. */
 
 #include "http/http_backends.h"
 
@@ -18,36 +18,39 @@
 
 namespace {
 
+/** Longest time for connecting. */
 constexpr std::chrono::milliseconds ConnectTimeout{1000};
-/** Longest silence of a back end in the middle of an answer. */
+/** Longest time without bytes while a back end streams an answer. */
 constexpr std::chrono::seconds StreamTimeout{30};
 /** Longest wait for a short answer, such as a state. */
 constexpr std::chrono::milliseconds ShortTimeout{2000};
 /** Longest wait for a load order or a chunk. */
 constexpr std::chrono::seconds LongTimeout{120};
 
-/** A request counts as never sent only when no connection came about. */
-bool neverSent(httplib::Error Why) {
+/** Says whether a request was certainly not sent: no connection was made. */
+bool isUnsent(httplib::Error Why) {
   return Why == httplib::Error::Connection ||
          Why == httplib::Error::ConnectionTimeout;
 }
 
-boost::leaf::error_id callFailed(httplib::Error Why) {
-  return fail(neverSent(Why) ? ErrorKind::Unreachable
-                             : ErrorKind::OutcomeUnknown,
+/** Fails with Unreachable for an unsent request, else OutcomeUnknown. */
+boost::leaf::error_id failCall(httplib::Error Why) {
+  return fail(isUnsent(Why) ? ErrorKind::Unreachable
+                            : ErrorKind::OutcomeUnknown,
               httplib::to_string(Why));
 }
 
-/** Turns the answer to an order into success or its failure. */
-Result<void> expectDone(const httplib::Result &Answer) {
+/** Fails unless the back end answered an order with status 200. */
+Result<void> checkOrderAnswer(const httplib::Result &Answer) {
   if (!Answer)
-    return callFailed(Answer.error());
+    return failCall(Answer.error());
   if (Answer->status != 200)
     return fail(ErrorKind::BackEndFailed,
                 "status " + std::to_string(Answer->status));
   return {};
 }
 
+/** Gets a text; empty for status 204. */
 Result<std::string> getText(const std::string &Url, const std::string &Path,
                             std::chrono::milliseconds Timeout) {
   httplib::Client Client = makeClient(Url, {ConnectTimeout, Timeout});
@@ -86,7 +89,7 @@
   if (Parser.Cancelled)
     return fail(ErrorKind::PartialAnswer, "cancelled");
   if (!Answer)
-    return callFailed(Answer.error());
+    return failCall(Answer.error());
   if (Answer->status == 503)
     return fail(ErrorKind::Unreachable, "engine refused");
   if (Answer->status != 200)
@@ -115,7 +118,7 @@
   httplib::Client Client = makeClient(Url, {ConnectTimeout, LongTimeout});
   const httplib::Result Answer = Client.Put("/v1/chunks/" + Chunk.Content.Value,
                                             Bytes, "application/octet-stream");
-  return expectDone(Answer);
+  return checkOrderAnswer(Answer);
 }
 
 Result<std::string> HttpEngine::staged(const ChunkRef &) {
@@ -130,11 +133,11 @@
   for (const Digest &Chunk : Order.Chunks)
     Body["chunks"].push_back(Chunk.Value);
   BOOST_LEAF_CHECK(Steps.LastLook());
-  // This engine answers when it has loaded; Taken would come no sooner. It
-  // names chunks by their digests and takes no others.
+  // This engine answers only when it has loaded, so Taken could not be called
+  // earlier. It identifies chunks by their digests only.
   const httplib::Result Answer =
       Client.Post("/v1/load", Body.dump(), "application/json");
-  return expectDone(Answer);
+  return checkOrderAnswer(Answer);
 }
 
 Result<ServiceAnswer> HttpService::call(const ServiceCall &Call) {
@@ -145,7 +148,7 @@
   const httplib::Result Answer = Client.Post(
       "/v1/calls/" + Call.Class.Value, Headers, Call.Body, "application/json");
   if (!Answer)
-    return callFailed(Answer.error());
+    return failCall(Answer.error());
   return ServiceAnswer{Answer->status, Answer->body};
 }
 
--- a/packages/adapters/http/http_backends.h
+++ b/packages/adapters/http/http_backends.h
@@ -1,4 +1,4 @@
-/** @file http_backends.h Back ends and platform over HTTP, by cpp-httplib. */
+/** @file http_backends.h HTTP clients of back ends and platform services. */
 
 #ifndef JACINTHPOND_ADAPTERS_HTTP_HTTP_BACKENDS_H
 #define JACINTHPOND_ADAPTERS_HTTP_HTTP_BACKENDS_H
@@ -11,14 +11,14 @@
 
 namespace jacinthpond {
 
-/** A model engine over HTTP with server-sent events. */
+/** Client of a model engine over HTTP with server-sent events. */
 class HttpEngine final : public EnginePort {
 public:
   /**
-   * Names the engine; nothing is sent yet.
-   * @param At "http://IP:port".
+   * Creates a client; each request makes a connection of its own.
+   * @param BaseUrl "http://IP:port".
    */
-  explicit HttpEngine(std::string At) : Url(std::move(At)) {}
+  explicit HttpEngine(std::string BaseUrl) : Url(std::move(BaseUrl)) {}
   Result<EngineEnd>
   generate(const EngineRequest &Request,
            const std::function<bool(Digest)> &OnBegin,
@@ -32,14 +32,14 @@
   std::string Url;
 };
 
-/** A plain service over HTTP. */
+/** Client of a service over HTTP. */
 class HttpService final : public ServicePort {
 public:
   /**
-   * Names the service; nothing is sent yet.
-   * @param At "http://IP:port".
+   * Creates a client; each request makes a connection of its own.
+   * @param BaseUrl "http://IP:port".
    */
-  explicit HttpService(std::string At) : Url(std::move(At)) {}
+  explicit HttpService(std::string BaseUrl) : Url(std::move(BaseUrl)) {}
   Result<ServiceAnswer> call(const ServiceCall &Call) override;
   Result<std::string> ping() override;
 
@@ -47,14 +47,14 @@
   std::string Url;
 };
 
-/** The configuration service over HTTP. */
+/** Client of the configuration service over HTTP. */
 class HttpConfig final : public ConfigPort {
 public:
   /**
-   * Names the service; nothing is sent yet.
-   * @param At "http://IP:port".
+   * Creates a client; each request makes a connection of its own.
+   * @param BaseUrl "http://IP:port".
    */
-  explicit HttpConfig(std::string At) : Url(std::move(At)) {}
+  explicit HttpConfig(std::string BaseUrl) : Url(std::move(BaseUrl)) {}
   Result<std::string> watch(ConfigVersion After, const Digest &InForce,
                             Millis Wait) override;
 
@@ -62,28 +62,28 @@
   std::string Url;
 };
 
-/** The host list over HTTP. */
+/** Client of the host list over HTTP. */
 class HttpHosts final : public HostsPort {
 public:
   /**
-   * Names the service; nothing is sent yet.
-   * @param At "http://IP:port".
+   * Creates a client; each request makes a connection of its own.
+   * @param BaseUrl "http://IP:port".
    */
-  explicit HttpHosts(std::string At) : Url(std::move(At)) {}
+  explicit HttpHosts(std::string BaseUrl) : Url(std::move(BaseUrl)) {}
   Result<HostStates> hosts() override;
 
 private:
   std::string Url;
 };
 
-/** The origin of weights over HTTP. */
+/** Client of the origin of weights over HTTP. */
 class HttpOrigin final : public OriginPort {
 public:
   /**
-   * Names the origin; nothing is sent yet.
-   * @param At "http://IP:port".
+   * Creates a client; each request makes a connection of its own.
+   * @param BaseUrl "http://IP:port".
    */
-  explicit HttpOrigin(std::string At) : Url(std::move(At)) {}
+  explicit HttpOrigin(std::string BaseUrl) : Url(std::move(BaseUrl)) {}
   Result<std::string> fetch(const ChunkRef &Chunk) override;
   Result<ChunkList> list(const ChunkRef &Version) override;
 
--- a/packages/adapters/http/http_client.h
+++ b/packages/adapters/http/http_client.h
@@ -1,4 +1,4 @@
-/** @file http_client.h Set-up of the clients of back ends and platform. */
+/** @file http_client.h Creation of HTTP clients with timeouts. */
 
 #ifndef JACINTHPOND_ADAPTERS_HTTP_HTTP_CLIENT_H
 #define JACINTHPOND_ADAPTERS_HTTP_HTTP_CLIENT_H
@@ -10,14 +10,14 @@
 
 namespace jacinthpond {
 
-/** How long a client waits. */
+/** Timeouts of a client. */
 struct ClientTimeouts {
-  std::chrono::milliseconds Connect; ///< For a connection.
-  std::chrono::milliseconds Silence; ///< For the next bytes, either way.
+  std::chrono::milliseconds Connect; ///< For connecting.
+  std::chrono::milliseconds Silence; ///< Between bytes, in either direction.
 };
 
 /**
- * Makes a client; nothing is sent yet.
+ * Creates a client; nothing is sent yet.
  * @param Url "http://IP:port".
  * @param Timeouts Its timeouts.
  * @return The client.
--- a/packages/adapters/http/http_server.cpp
+++ b/packages/adapters/http/http_server.cpp
@@ -1,4 +1,4 @@
-/** @file http_server.cpp Set-up that all HTTP listeners share. */
+/** @file http_server.cpp Set-up and error answers of all HTTP listeners. */
 
 #include "http/http_server.h"
 
@@ -16,16 +16,17 @@
 
 namespace {
 
-/** How long an idle kept connection may hold a thread, in seconds. */
+/** Longest time that an idle connection holds a thread, in seconds. */
 constexpr time_t KeepAliveSeconds = 2;
-/** Connections that the kernel keeps until they are accepted. */
+/** Pending connections that the kernel queues until they are accepted. */
 constexpr int ListenBacklog = 1024;
-/** Time between two looks whether a new listener accepts. */
-constexpr std::chrono::milliseconds AcceptPoll{1};
+/** Time between two checks whether a new listener accepts connections. */
+constexpr std::chrono::milliseconds AcceptPollInterval{1};
 /** Requests on one connection before it is closed. */
 constexpr size_t KeepAliveRequests = 1000;
 
-ErrorKind kindOfStatus(int Status) {
+/** Gives the error kind for a status that the library set itself. */
+ErrorKind errorKindOfStatus(int Status) {
   switch (Status) {
   case 404:
     return ErrorKind::NotFound;
@@ -42,7 +43,7 @@
 
 } // namespace
 
-void setupServer(httplib::Server &Server, const ListenerLimits &Limits) {
+void configureServer(httplib::Server &Server, const ListenerLimits &Limits) {
   Server.new_task_queue = [n = Limits.Threads] {
     return new httplib::ThreadPool(n);
   };
@@ -51,47 +52,47 @@
   Server.set_keep_alive_timeout(KeepAliveSeconds);
   Server.set_keep_alive_max_count(KeepAliveRequests);
   Server.set_tcp_nodelay(true);
-  Server.set_error_handler([](const httplib::Request &,
-                              httplib::Response &Answer) {
-    // Only answers that the library made itself are empty.
-    if (Answer.body.empty())
-      writeError(Answer, {kindOfStatus(Answer.status), "", {}}, Ran::No, {});
-  });
+  Server.set_error_handler(
+      [](const httplib::Request &, httplib::Response &Answer) {
+        // Only answers that the library made itself are empty.
+        if (Answer.body.empty())
+          writeError(Answer, {errorKindOfStatus(Answer.status), "", {}},
+                     Ran::No, {});
+      });
 }
 
 std::string startServer(httplib::Server &Server, const std::string &At,
-                        std::thread &Accepting) {
+                        std::thread &AcceptThread) {
   const size_t Colon = At.rfind(':');
   if (Colon == std::string::npos)
     return "";
   const std::string Ip = At.substr(0, Colon);
-  // The library listens with a backlog of 5; a burst of callers above it loses
-  // its first packets and waits for a retry of 1 s. Listening again on the
-  // same socket widens the backlog.
-  int Listening = -1;
-  Server.set_socket_options([&Listening](int Socket) {
-    const int One = 1;
-    setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &One, sizeof(One));
-    Listening = Socket;
+  // The library listens with a backlog of 5. The kernel drops the SYN packets
+  // of a larger burst of callers, which resend them only after 1 s. Calling
+  // listen() again on the same socket enlarges the backlog.
+  int ListenSocket = -1;
+  Server.set_socket_options([&ListenSocket](int Socket) {
+    const int Enable = 1;
+    setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &Enable, sizeof(Enable));
+    ListenSocket = Socket;
   });
   int Port = std::atoi(At.c_str() + Colon + 1);
   if (Port == 0)
     Port = Server.bind_to_any_port(Ip);
   else if (!Server.bind_to_port(Ip, Port))
     return "";
-  if (Port <= 0 || listen(Listening, ListenBacklog) != 0)
+  if (Port <= 0 || listen(ListenSocket, ListenBacklog) != 0)
     return "";
   std::promise<void> Done;
   const std::future<void> Ended = Done.get_future();
-  Accepting = std::thread([&Server, Done = std::move(Done)]() mutable {
+  AcceptThread = std::thread([&Server, Done = std::move(Done)]() mutable {
     Server.listen_after_bind();
     Done.set_value();
   });
-  // The library ignores a stop before its thread accepts; the thread would go
-  // on, and a program that ends since its next address is taken would wait for
-  // it for ever.
+  // The library ignores stop() until its thread accepts. A program that exits
+  // because its next address is in use would then wait for the thread forever.
   while (!Server.is_running() &&
-         Ended.wait_for(AcceptPoll) == std::future_status::timeout) {
+         Ended.wait_for(AcceptPollInterval) == std::future_status::timeout) {
   }
   return Ip + ":" + std::to_string(Port);
 }
@@ -119,7 +120,7 @@
                 const std::vector<Address> &Elsewhere) {
   Answer.status = answerFor(Why.Kind).HttpStatus;
   const Millis After = retryAfter(Why);
-  if (After.count() > 0) // The header counts in whole seconds.
+  if (After.count() > 0) // The header has whole seconds, rounded up.
     Answer.set_header("Retry-After",
                       std::to_string((After.count() + 999) / 1000));
   Answer.set_content(errorBody(Why, Executed, Request, Elsewhere),
--- a/packages/adapters/http/http_server.h
+++ b/packages/adapters/http/http_server.h
@@ -1,4 +1,4 @@
-/** @file http_server.h Set-up that all HTTP listeners share. */
+/** @file http_server.h Set-up and error answers of all HTTP listeners. */
 
 #ifndef JACINTHPOND_ADAPTERS_HTTP_HTTP_SERVER_H
 #define JACINTHPOND_ADAPTERS_HTTP_HTTP_SERVER_H
@@ -14,19 +14,19 @@
 
 namespace jacinthpond {
 
-/** Bounds of one listener. */
+/** Limits of one listener. */
 struct ListenerLimits {
-  size_t Threads = 8;            ///< Connections served at a time.
+  size_t Threads = 8;            ///< Threads that handle requests.
   size_t MaxBodyBytes = 1 << 20; ///< Largest request body.
   Millis ReadTimeout{5000};      ///< Longest time for a whole request.
-  size_t MaxConnections = 2048;  ///< Connections without a whole request.
+  size_t MaxConnections = 2048;  ///< Connections without a complete request.
   size_t MaxQueued = 256;        ///< Requests that wait for a thread.
 };
 
 /**
- * Bounds of a listener for operators and monitoring: few connections, and each
- * thread costs memory on small hosts.
- * @return The bounds.
+ * Gives the limits of a listener for operators and monitoring. It has few
+ * connections, and each thread costs memory on small hosts.
+ * @return The limits.
  */
 inline ListenerLimits adminLimits() {
   ListenerLimits Limits;
@@ -35,41 +35,43 @@
 }
 
 /**
- * Sets limits and error answers of a listener.
+ * Sets the limits of a listener, and the body of error answers that the library
+ * makes itself.
  * @param Server The listener.
- * @param Limits Its bounds.
+ * @param Limits Its limits.
  */
-void setupServer(httplib::Server &Server, const ListenerLimits &Limits);
+void configureServer(httplib::Server &Server, const ListenerLimits &Limits);
 
 /**
- * Binds a listener and accepts on a thread of its own; it may be stopped as
- * soon as this returns.
+ * Binds a listener and starts a thread that accepts connections. The listener
+ * may be stopped as soon as this returns.
  * @param Server The listener.
  * @param At "IP:port"; port 0 lets the kernel choose.
- * @param Accepting Set to the thread.
- * @return The address in use; empty when it cannot be had.
+ * @param AcceptThread Set to the new thread.
+ * @return The address in use; empty when it cannot be bound.
  */
 std::string startServer(httplib::Server &Server, const std::string &At,
-                        std::thread &Accepting);
+                        std::thread &AcceptThread);
 
 /**
- * Writes the answer to a failure, from the error table.
- * @param Answer Where to write.
+ * Writes the answer to a failed request: the status of the error table,
+ * Retry-After and errorBody().
+ * @param Answer The answer to set.
  * @param Why Kind and detail.
- * @param Executed Whether the work ran.
+ * @param Executed Whether the request was executed.
  * @param Request Id of the request; may be empty.
- * @param Elsewhere Addresses to use instead; may be empty.
+ * @param Elsewhere Addresses of other entries to use instead; may be empty.
  */
 void writeError(httplib::Response &Answer, const Failure &Why, Ran Executed,
                 const RequestId &Request,
                 const std::vector<Address> &Elsewhere = {});
 
 /**
- * Gives the JSON object that describes a failure.
+ * Gives the body of an error answer, a JSON object.
  * @param Why Kind and detail.
- * @param Executed Whether the work ran.
+ * @param Executed Whether the request was executed.
  * @param Request Id of the request; may be empty.
- * @param Elsewhere Addresses to use instead; may be empty.
+ * @param Elsewhere Addresses of other entries to use instead; may be empty.
  * @return JSON text.
  */
 std::string errorBody(const Failure &Why, Ran Executed,
--- a/packages/adapters/http/json_fields.h
+++ b/packages/adapters/http/json_fields.h
@@ -1,4 +1,4 @@
-/** @file json_fields.h Reads members of JSON that a back end sent. */
+/** @file json_fields.h Tolerant reading of members of JSON objects. */
 
 #ifndef JACINTHPOND_ADAPTERS_HTTP_JSON_FIELDS_H
 #define JACINTHPOND_ADAPTERS_HTTP_JSON_FIELDS_H
@@ -11,10 +11,10 @@
 namespace jacinthpond {
 
 /**
- * Reads a text.
+ * Gives a string member.
  * @param Value An object.
  * @param Key Name of the member.
- * @return The text; empty when there is none or it is something else.
+ * @return The string; empty when the member is missing or of another type.
  */
 inline std::string textOf(const nlohmann::json &Value, const char *Key) {
   const auto it = Value.find(Key);
@@ -22,10 +22,10 @@
 }
 
 /**
- * Reads a whole number.
+ * Gives an unsigned integer member.
  * @param Value An object.
  * @param Key Name of the member.
- * @return The number; 0 when there is none or it is something else.
+ * @return The number; 0 when the member is missing or of another type.
  */
 inline uint64_t numberOf(const nlohmann::json &Value, const char *Key) {
   const auto it = Value.find(Key);
@@ -34,10 +34,10 @@
 }
 
 /**
- * Reads a truth value.
+ * Gives a boolean member.
  * @param Value An object.
  * @param Key Name of the member.
- * @return The value; false when there is none or it is something else.
+ * @return The value; false when the member is missing or of another type.
  */
 inline bool flagOf(const nlohmann::json &Value, const char *Key) {
   const auto it = Value.find(Key);
--- a/packages/adapters/http/request_framing.cpp
+++ b/packages/adapters/http/request_framing.cpp
@@ -1,4 +1,4 @@
-/** @file request_framing.cpp Where a request ends. */
+/** @file request_framing.cpp Length of a request that is still arriving. */
 
 #include "http/request_framing.h"
 
@@ -13,12 +13,14 @@
 constexpr std::string_view HeadEnd = "\r\n\r\n";
 constexpr std::string_view LineEnd = "\r\n";
 
-bool sameName(std::string_view A, std::string_view B) {
+/** Compares header names, ignoring case. */
+bool isSameName(std::string_view A, std::string_view B) {
   return std::ranges::equal(A, B, [](unsigned char x, unsigned char y) {
     return std::tolower(x) == std::tolower(y);
   });
 }
 
+/** Removes spaces and tabs at both ends. */
 std::string_view trim(std::string_view Text) {
   const size_t First = Text.find_first_not_of(" \t");
   if (First == std::string_view::npos)
@@ -26,53 +28,58 @@
   return Text.substr(First, Text.find_last_not_of(" \t") - First + 1);
 }
 
-Framing refused(ErrorKind Kind, const char *Detail) {
-  Framing Found;
-  Found.Why = Failure{Kind, Detail, {}};
-  return Found;
+/** Gives the framing of a request that is refused. */
+Framing refusal(ErrorKind Kind, const char *Detail) {
+  Framing Parsed;
+  Parsed.Why = Failure{Kind, Detail, {}};
+  return Parsed;
 }
 
-/** What the headers say about the body. */
+/** Headers that define the length of the body. */
 struct BodyHeaders {
   std::optional<size_t> Length; ///< Content-Length.
-  bool BadLength = false;       ///< It is no number, or two differ.
-  bool Chunked = false;         ///< Transfer-Encoding is given.
-  bool AsksToGoOn = false;      ///< Expect is given.
+  bool InvalidLength = false;   ///< No number, or two headers differ.
+  bool Chunked = false;         ///< Transfer-Encoding is present.
+  bool ExpectsContinue = false; ///< Expect is present.
 };
 
-void readLength(std::string_view Value, BodyHeaders &Into) {
+/** Parses one Content-Length header. */
+void parseContentLength(std::string_view Value, BodyHeaders &Target) {
   size_t n = 0;
   const auto Read =
       std::from_chars(Value.data(), Value.data() + Value.size(), n);
   const bool Number =
       Read.ec == std::errc{} && Read.ptr == Value.data() + Value.size();
-  Into.BadLength |= !Number || (Into.Length && *Into.Length != n);
-  Into.Length = n;
+  Target.InvalidLength |= !Number || (Target.Length && *Target.Length != n);
+  Target.Length = n;
 }
 
-void readHeader(std::string_view Line, BodyHeaders &Into) {
+/** Parses one header line; headers that say nothing about the body are
+ * ignored. */
+void parseHeader(std::string_view Line, BodyHeaders &Target) {
   const size_t Colon = Line.find(':');
   if (Colon == std::string_view::npos)
     return;
   const std::string_view Name = Line.substr(0, Colon);
-  if (sameName(Name, "Content-Length"))
-    readLength(trim(Line.substr(Colon + 1)), Into);
-  if (sameName(Name, "Transfer-Encoding"))
-    Into.Chunked = true;
-  if (sameName(Name, "Expect"))
-    Into.AsksToGoOn = true;
+  if (isSameName(Name, "Content-Length"))
+    parseContentLength(trim(Line.substr(Colon + 1)), Target);
+  if (isSameName(Name, "Transfer-Encoding"))
+    Target.Chunked = true;
+  if (isSameName(Name, "Expect"))
+    Target.ExpectsContinue = true;
 }
 
-BodyHeaders readHeaders(std::string_view Head) {
-  BodyHeaders Found;
+/** Parses the headers after the request line. */
+BodyHeaders parseBodyHeaders(std::string_view Head) {
+  BodyHeaders Parsed;
   size_t Start = Head.find(LineEnd);
   while (Start != std::string_view::npos) {
     Start += LineEnd.size();
     const size_t Stop = Head.find(LineEnd, Start);
-    readHeader(Head.substr(Start, Stop - Start), Found);
+    parseHeader(Head.substr(Start, Stop - Start), Parsed);
     Start = Stop;
   }
-  return Found;
+  return Parsed;
 }
 
 } // namespace
@@ -82,20 +89,20 @@
   if (End == std::string_view::npos)
     return Received.size() < Limits.MaxHeadBytes
                ? Framing{}
-               : refused(ErrorKind::TooLarge, "headers are too long");
-  const BodyHeaders Body = readHeaders(Received.substr(0, End));
-  // A body without a known length could go on for ever.
+               : refusal(ErrorKind::TooLarge, "headers are too long");
+  const BodyHeaders Body = parseBodyHeaders(Received.substr(0, End));
+  // A body without a known length could be endless.
   if (Body.Chunked)
-    return refused(ErrorKind::BadRequest, "Content-Length is needed");
-  if (Body.BadLength)
-    return refused(ErrorKind::BadRequest, "Content-Length is wrong");
+    return refusal(ErrorKind::BadRequest, "Content-Length is needed");
+  if (Body.InvalidLength)
+    return refusal(ErrorKind::BadRequest, "Content-Length is wrong");
   const size_t Length = Body.Length.value_or(0);
   if (Length > Limits.MaxBodyBytes)
-    return refused(ErrorKind::TooLarge, "the body is too long");
-  Framing Found;
-  Found.Bytes = End + HeadEnd.size() + Length;
-  Found.AsksToGoOn = Body.AsksToGoOn;
-  return Found;
+    return refusal(ErrorKind::TooLarge, "the body is too long");
+  Framing Parsed;
+  Parsed.Bytes = End + HeadEnd.size() + Length;
+  Parsed.ExpectsContinue = Body.ExpectsContinue;
+  return Parsed;
 }
 
 } // namespace jacinthpond
--- a/packages/adapters/http/request_receiver.cpp
+++ b/packages/adapters/http/request_receiver.cpp
@@ -1,4 +1,4 @@
-/** @file request_receiver.cpp Collects whole requests of many connections. */
+/** @file request_receiver.cpp Receives HTTP requests on one thread. */
 
 #include "http/request_receiver.h"
 
@@ -17,19 +17,22 @@
 
 namespace {
 
-/** Time between two looks at the deadlines. */
+/** Time between two checks of the deadlines. */
 constexpr int ExpiryPeriodMillis = 100;
-/** How long a refused caller may take to read its answer. */
-constexpr Millis ClosingTime{1000};
-constexpr size_t ReadBytes = 65536;
+/** Time that a refused caller has to read the error answer. */
+constexpr Millis RefusalReadTimeout{1000};
+/** Size of the buffer for one receive call. */
+constexpr size_t ReadBufferBytes = 65536;
 
+/** Gives the current time of the steady clock. */
 TimePoint now() { return std::chrono::steady_clock::now(); }
 
-/** Writes what fits; a caller that reads nothing loses the rest. */
+/** Sends what the socket buffer can hold; the rest is discarded. */
 void sendText(int Socket, const std::string &Text) {
   (void)!send(Socket, Text.data(), Text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
 }
 
+/** Gives the complete HTTP response for a refused request. */
 std::string refusalText(const Failure &Why) {
   const std::string Body = errorBody(Why, Ran::No, {});
   return "HTTP/1.1 " + std::to_string(answerFor(Why.Kind).HttpStatus) +
@@ -39,20 +42,21 @@
 
 } // namespace
 
-void answerRefused(int Socket, const Failure &Why) {
+void sendRefusal(int Socket, const Failure &Why) {
   sendText(Socket, refusalText(Why));
   shutdown(Socket, SHUT_WR);
 }
 
 RequestReceiver::RequestReceiver(const ReceiverLimits &Bounds,
-                                 std::function<void(Received)> Take)
-    : Limits(Bounds), OnRequest(std::move(Take)),
-      Events(epoll_create1(EPOLL_CLOEXEC)),
-      Wake(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)), Reader([this] { run(); }) {}
+                                 std::function<void(ReceivedRequest)> Handler)
+    : Limits(Bounds), OnRequest(std::move(Handler)),
+      Epoll(epoll_create1(EPOLL_CLOEXEC)),
+      Wake(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)),
+      Reader([this] { receiveRequests(); }) {}
 
 RequestReceiver::~RequestReceiver() {
   stop();
-  close(Events);
+  close(Epoll);
   close(Wake);
 }
 
@@ -61,154 +65,156 @@
     const std::lock_guard Lock(Guard);
     Stopped = true;
   }
-  const uint64_t One = 1;
-  (void)!write(Wake, &One, sizeof(One));
+  const uint64_t Increment = 1;
+  (void)!write(Wake, &Increment, sizeof(Increment));
   if (Reader.joinable())
     Reader.join();
   const std::lock_guard Lock(Guard);
   while (!Connections.empty())
-    forget(Connections.begin()->first, true);
+    removeConnection(Connections.begin()->first, true);
 }
 
 void RequestReceiver::add(int Socket, std::string Rest, uint32_t Served) {
-  std::vector<Received> Whole;
+  std::vector<ReceivedRequest> Complete;
   {
     const std::lock_guard Lock(Guard);
     if (Stopped) {
       close(Socket);
       return;
     }
-    makeRoom();
-    Waiting &One = Connections[Socket];
-    One.Buffer = std::move(Rest);
-    One.Served = Served;
-    const bool Idle = Served > 0 && One.Buffer.empty();
-    One.Deadline = now() + (Idle ? Limits.IdleTimeout : Limits.ReadTimeout);
+    evictConnectionIfFull();
+    ReceivingConnection &Connection = Connections[Socket];
+    Connection.Buffer = std::move(Rest);
+    Connection.Served = Served;
+    const bool Idle = Served > 0 && Connection.Buffer.empty();
+    Connection.Deadline =
+        now() + (Idle ? Limits.IdleTimeout : Limits.ReadTimeout);
     epoll_event Watch{};
     Watch.events = EPOLLIN;
     Watch.data.fd = Socket;
-    epoll_ctl(Events, EPOLL_CTL_ADD, Socket, &Watch);
-    if (!One.Buffer.empty() && takeBytes(Socket, One, Whole))
-      forget(Socket, false);
+    epoll_ctl(Epoll, EPOLL_CTL_ADD, Socket, &Watch);
+    if (!Connection.Buffer.empty() &&
+        extractRequest(Socket, Connection, Complete))
+      removeConnection(Socket, false);
   }
-  for (Received &One : Whole)
-    OnRequest(std::move(One));
+  for (ReceivedRequest &Request : Complete)
+    OnRequest(std::move(Request));
 }
 
-/**
- * Makes room for a connection. When callers hold the bound with connections
- * on which nothing comes, the one nearest to its deadline gives way; it would
- * otherwise keep out a caller that has something to ask.
- */
-void RequestReceiver::makeRoom() {
+void RequestReceiver::evictConnectionIfFull() {
   if (Connections.size() < Limits.MaxConnections)
     return;
+  // Otherwise, idle connections up to the limit would keep out callers that
+  // want to send a request.
   const auto it = std::ranges::min_element(
       Connections, {}, [](const auto &Row) { return Row.second.Deadline; });
-  forget(it->first, true);
+  removeConnection(it->first, true);
 }
 
-void RequestReceiver::forget(int Socket, bool Close) {
-  epoll_ctl(Events, EPOLL_CTL_DEL, Socket, nullptr);
+void RequestReceiver::removeConnection(int Socket, bool Close) {
+  epoll_ctl(Epoll, EPOLL_CTL_DEL, Socket, nullptr);
   Connections.erase(Socket);
   if (Close)
     close(Socket);
 }
 
-void RequestReceiver::run() {
+void RequestReceiver::receiveRequests() {
   std::array<epoll_event, 64> Ready{};
   TimePoint NextExpiry = now();
   for (;;) {
     const int n =
-        epoll_wait(Events, Ready.data(), Ready.size(), ExpiryPeriodMillis);
-    std::vector<Received> Whole;
+        epoll_wait(Epoll, Ready.data(), Ready.size(), ExpiryPeriodMillis);
+    std::vector<ReceivedRequest> Complete;
     {
       const std::lock_guard Lock(Guard);
       if (Stopped)
         return;
       for (int i = 0; i < n; ++i)
-        readFrom(Ready.at(static_cast<size_t>(i)).data.fd, Whole);
+        readFrom(Ready.at(static_cast<size_t>(i)).data.fd, Complete);
       if (now() >= NextExpiry) {
-        expire();
+        expireConnections();
         NextExpiry = now() + Millis(ExpiryPeriodMillis);
       }
     }
-    for (Received &One : Whole)
-      OnRequest(std::move(One));
+    for (ReceivedRequest &Request : Complete)
+      OnRequest(std::move(Request));
   }
 }
 
-void RequestReceiver::readFrom(int Socket, std::vector<Received> &Whole) {
+void RequestReceiver::readFrom(int Socket,
+                               std::vector<ReceivedRequest> &Complete) {
   const auto it = Connections.find(Socket);
   if (it == Connections.end())
     return;
-  Waiting &One = it->second;
-  std::array<char, ReadBytes> Buf; // NOLINT: filled by recv.
+  ReceivingConnection &Connection = it->second;
+  std::array<char, ReadBufferBytes> Buf; // NOLINT: filled by recv.
   const ssize_t n = recv(Socket, Buf.data(), Buf.size(), MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
   if (n <= 0) {
-    endOfInput(Socket, One);
+    handleEndOfInput(Socket, Connection);
     return;
   }
-  if (One.Closing)
+  if (Connection.Closing)
     return;
-  // The time for a request runs from its first byte; later bytes do not
-  // lengthen it, so that a byte now and then does not keep it open.
-  if (One.Buffer.empty() && One.Served > 0)
-    One.Deadline = now() + Limits.ReadTimeout;
-  One.Buffer.append(Buf.data(), static_cast<size_t>(n));
-  if (takeBytes(Socket, One, Whole))
-    forget(Socket, false);
+  // The time limit of a request starts with its first byte. Later bytes do not
+  // extend it: a byte now and then must not keep the connection open.
+  if (Connection.Buffer.empty() && Connection.Served > 0)
+    Connection.Deadline = now() + Limits.ReadTimeout;
+  Connection.Buffer.append(Buf.data(), static_cast<size_t>(n));
+  if (extractRequest(Socket, Connection, Complete))
+    removeConnection(Socket, false);
 }
 
-/** Says whether a whole request was moved to Whole. */
-bool RequestReceiver::takeBytes(int Socket, Waiting &One,
-                                std::vector<Received> &Whole) {
-  if (One.Needed == 0) {
-    const Framing Found = frameRequest(One.Buffer, Limits.Request);
-    if (Found.Why) {
-      refuse(Socket, One, *Found.Why);
+bool RequestReceiver::extractRequest(int Socket,
+                                     ReceivingConnection &Connection,
+                                     std::vector<ReceivedRequest> &Complete) {
+  if (Connection.Needed == 0) {
+    const Framing Parsed = frameRequest(Connection.Buffer, Limits.Request);
+    if (Parsed.Why) {
+      refuseRequest(Socket, Connection, *Parsed.Why);
       return false;
     }
-    One.Needed = Found.Bytes;
-    if (Found.AsksToGoOn && One.Buffer.size() < One.Needed)
+    Connection.Needed = Parsed.Bytes;
+    if (Parsed.ExpectsContinue && Connection.Buffer.size() < Connection.Needed)
       sendText(Socket, "HTTP/1.1 100 Continue\r\n\r\n");
   }
-  if (One.Needed == 0 || One.Buffer.size() < One.Needed)
+  if (Connection.Needed == 0 || Connection.Buffer.size() < Connection.Needed)
     return false;
-  Whole.push_back({Socket, One.Buffer.substr(0, One.Needed),
-                   One.Buffer.substr(One.Needed), One.Served});
+  Complete.push_back({Socket, Connection.Buffer.substr(0, Connection.Needed),
+                      Connection.Buffer.substr(Connection.Needed),
+                      Connection.Served});
   return true;
 }
 
-void RequestReceiver::endOfInput(int Socket, Waiting &One) {
-  if (!One.Closing && !One.Buffer.empty())
-    answerRefused(Socket,
-                  {ErrorKind::BadRequest, "the request is cut off", {}});
-  forget(Socket, true);
+void RequestReceiver::handleEndOfInput(int Socket,
+                                       ReceivingConnection &Connection) {
+  if (!Connection.Closing && !Connection.Buffer.empty())
+    sendRefusal(Socket, {ErrorKind::BadRequest, "the request is cut off", {}});
+  removeConnection(Socket, true);
 }
 
-void RequestReceiver::refuse(int Socket, Waiting &One, const Failure &Why) {
-  // Closing at once, with bytes unread, would reset the connection and the
+void RequestReceiver::refuseRequest(int Socket, ReceivingConnection &Connection,
+                                    const Failure &Why) {
+  // Closing a socket with unread bytes would reset the connection, and the
   // caller could lose the answer.
-  answerRefused(Socket, Why);
-  One.Closing = true;
-  One.Buffer.clear();
-  One.Deadline = now() + ClosingTime;
+  sendRefusal(Socket, Why);
+  Connection.Closing = true;
+  Connection.Buffer.clear();
+  Connection.Deadline = now() + RefusalReadTimeout;
 }
 
-void RequestReceiver::expire() {
-  std::vector<int> Late;
-  for (const auto &[Socket, One] : Connections)
-    if (now() >= One.Deadline)
-      Late.push_back(Socket);
-  for (const int Socket : Late) {
-    Waiting &One = Connections.at(Socket);
-    if (One.Closing || One.Buffer.empty())
-      forget(Socket, true);
+void RequestReceiver::expireConnections() {
+  std::vector<int> Expired;
+  for (const auto &[Socket, Connection] : Connections)
+    if (now() >= Connection.Deadline)
+      Expired.push_back(Socket);
+  for (const int Socket : Expired) {
+    ReceivingConnection &Connection = Connections.at(Socket);
+    if (Connection.Closing || Connection.Buffer.empty())
+      removeConnection(Socket, true);
     else
-      refuse(Socket, One, {ErrorKind::SlowCaller, "", {}});
+      refuseRequest(Socket, Connection, {ErrorKind::SlowCaller, "", {}});
   }
 }
 
--- a/packages/adapters/http/request_receiver.h
+++ b/packages/adapters/http/request_receiver.h
@@ -1,9 +1,9 @@
-/** @file request_receiver.h Collects whole requests of many connections.
+/** @file request_receiver.h Receives HTTP requests on one thread.
  *
- * The HTTP library gives a thread to each connection. Callers that send
- * slowly, or nothing, would hold all of them and keep others out: nobody else
- * would get an answer. Therefore one thread collects the bytes of all
- * connections and only a whole request is given a thread.
+ * The HTTP library gives a thread to each connection. Callers that send slowly,
+ * or nothing, would occupy all threads, and no other caller would get an
+ * answer. Therefore one thread receives the bytes of all connections, and a
+ * request gets a thread of its own only when it is complete.
  */
 
 #ifndef JACINTHPOND_ADAPTERS_HTTP_REQUEST_RECEIVER_H
@@ -21,83 +21,99 @@
 
 namespace jacinthpond {
 
-/** Bounds of all connections. */
+/** Limits of a receiver. */
 struct ReceiverLimits {
-  FramingLimits Request;        ///< Of one request.
-  size_t MaxConnections = 2048; ///< Connections that send or idle at a time.
-  Millis ReadTimeout{5000};     ///< Longest time for a whole request.
-  Millis IdleTimeout{2000};     ///< Longest silence between two requests.
+  FramingLimits Request;        ///< Size limits of one request.
+  size_t MaxConnections = 2048; ///< Connections without a complete request.
+  Millis ReadTimeout{5000};     ///< Longest time until a request is complete.
+  Millis IdleTimeout{2000};     ///< Longest time between two requests.
 };
 
-/** A connection on which requests are awaited. */
-struct Waiting {
-  std::string Buffer;   ///< Received and not yet given away.
-  TimePoint Deadline;   ///< When it is closed or refused.
-  size_t Needed = 0;    ///< Length of the request; 0: not known.
-  uint32_t Served = 0;  ///< Requests served before.
-  bool Closing = false; ///< Refused; what comes is thrown away.
+/** A connection on which a request is expected or arriving. */
+struct ReceivingConnection {
+  std::string Buffer;   ///< Bytes of the request so far.
+  TimePoint Deadline;   ///< When it is refused or, if idle, closed.
+  size_t Needed = 0;    ///< Length of the request; 0: unknown so far.
+  uint32_t Served = 0;  ///< Requests served before on this connection.
+  bool Closing = false; ///< Refused; further input is discarded.
 };
 
-/** A whole request with its connection. */
-struct Received {
-  int Socket = -1;     ///< The connection; belongs to the taker.
+/** A complete request with its connection. */
+struct ReceivedRequest {
+  int Socket = -1;     ///< The connection; owned by the recipient.
   std::string Request; ///< Head and body.
-  std::string Rest;    ///< Bytes of the next request.
-  uint32_t Served = 0; ///< Requests served before.
+  std::string Rest;    ///< Bytes received of the next request.
+  uint32_t Served = 0; ///< Requests served before on this connection.
 };
 
-/** Owns connections that wait for requests. */
+/** Owns connections until they deliver a complete request. */
 class RequestReceiver {
 public:
   /**
    * Starts the thread.
    * @param Bounds Limits.
-   * @param Take Gets each whole request, on the receiver's thread.
+   * @param Handler Called with each complete request, on the receiver's thread
+   * or in add().
    */
   RequestReceiver(const ReceiverLimits &Bounds,
-                  std::function<void(Received)> Take);
+                  std::function<void(ReceivedRequest)> Handler);
   /** Ends the thread and closes all connections. */
   ~RequestReceiver();
   RequestReceiver(const RequestReceiver &) = delete;
   RequestReceiver &operator=(const RequestReceiver &) = delete;
 
   /**
-   * Waits for the next request of a connection.
-   * @param Socket The connection; belongs to the receiver from now on.
-   * @param Rest Bytes that arrived already.
+   * Adds a connection, on which the next request is received; thread-safe. A
+   * request that is complete already is passed on at once.
+   * @param Socket The connection; owned by the receiver from now on.
+   * @param Rest Bytes that were received already.
    * @param Served Requests served before.
    */
   void add(int Socket, std::string Rest, uint32_t Served);
 
-  /** Ends the thread and closes all connections; later ones are closed. */
+  /** Ends the thread and closes all connections; add() closes later ones. */
   void stop();
 
 private:
-  void run();
-  void readFrom(int Socket, std::vector<Received> &Whole);
-  bool takeBytes(int Socket, Waiting &One, std::vector<Received> &Whole);
-  void endOfInput(int Socket, Waiting &One);
-  void refuse(int Socket, Waiting &One, const Failure &Why);
-  void expire();
-  void makeRoom();
-  void forget(int Socket, bool Close);
+  /** Receives from all connections until stop(); runs on the thread. */
+  void receiveRequests();
+  /** Receives from one connection; adds its request when it is complete. */
+  void readFrom(int Socket, std::vector<ReceivedRequest> &Complete);
+  /** Checks the bytes received; moves a complete request to the list and
+   * returns true, and refuses an invalid one. */
+  bool extractRequest(int Socket, ReceivingConnection &Connection,
+                      std::vector<ReceivedRequest> &Complete);
+  /** Closes a connection whose caller has stopped sending, and refuses a
+   * request that was cut off. */
+  void handleEndOfInput(int Socket, ReceivingConnection &Connection);
+  /** Sends an error answer and prepares the connection for closing. */
+  void refuseRequest(int Socket, ReceivingConnection &Connection,
+                     const Failure &Why);
+  /** Closes idle connections, and refuses requests, that are past their
+   * deadline. */
+  void expireConnections();
+  /** Closes the connection nearest to its deadline when there are too many. */
+  void evictConnectionIfFull();
+  /** Removes a connection from the receiver, and closes it if asked to. */
+  void removeConnection(int Socket, bool Close);
 
   const ReceiverLimits Limits;
-  const std::function<void(Received)> OnRequest;
-  int Events = -1;  ///< Kernel's list of sockets to watch.
-  int Wake = -1;    ///< Readable when the thread is to look again.
+  const std::function<void(ReceivedRequest)> OnRequest;
+  int Epoll = -1;   ///< Epoll instance that watches the sockets.
+  int Wake = -1;    ///< Eventfd that interrupts the wait of the thread.
   std::mutex Guard; ///< Guards Connections and Stopped.
-  std::map<int, Waiting> Connections;
+  std::map<int, ReceivingConnection> Connections; ///< By socket.
   bool Stopped = false;
   std::thread Reader;
 };
 
 /**
- * Answers a request that nobody looked at, on its bare connection.
- * @param Socket The connection; its sending side is closed.
- * @param Why Row of the error table and detail.
+ * Sends an error answer to a request that no thread has handled, and shuts down
+ * the sending side of its connection.
+ * @param Socket The connection; the caller of this function closes it.
+ * @param Why Kind of the error and detail.
  */
-void answerRefused(int Socket, const Failure &Why);
+void sendRefusal(int Socket, const Failure &Why);
 
 } // namespace jacinthpond
 
--- a/packages/adapters/log/log.cpp
+++ b/packages/adapters/log/log.cpp
@@ -41,7 +41,8 @@
 
 /** Lines that wait to be written; beyond them, lines are discarded. */
 constexpr int QueueCapacityLines = 1024;
-/** Lines of level info or below that are written in one second. */
+/** Lines of level info or below that are written in one second; the rest is
+ * discarded. */
 constexpr uint64_t MaxInfoLinesPerSecond = 2000;
 
 /**
@@ -62,8 +63,7 @@
   return ++Written <= MaxInfoLinesPerSecond;
 }
 
-/** Turns a sentence into the fields of a note; other lines are fields already.
- */
+/** Turns a sentence into a note's fields; other lines are fields already. */
 std::string formatFields(const std::string &Text) {
   if (Text.starts_with("event="))
     return Text;
--- a/packages/adapters/metrics/table/timing_table.h
+++ b/packages/adapters/metrics/table/timing_table.h
@@ -18,15 +18,15 @@
   Count          ///< Number of enumerators.
 };
 
-/** Buckets of each histogram. */
-constexpr size_t BucketsPerTiming = 10;
+/** Buckets of each histogram, without the one for infinity. */
+constexpr size_t TimingBuckets = 10;
 
 /** Describes one histogram. */
 struct TimingSpec {
   Timing What;      ///< Duration that it observes.
   const char *Name; ///< Metric name.
   const char *Help; ///< Help text on the metrics page.
-  std::array<double, BucketsPerTiming>
+  std::array<double, TimingBuckets>
       Bounds; ///< Upper bounds of the buckets, in seconds.
 };
 
