--- a/packages/adapters/cli/command_line.cpp
+++ b/packages/adapters/cli/command_line.cpp
@@ -61,8 +61,8 @@
     return std::nullopt;
   }
   std::vector<std::string> Positional;
-  while (const char *Argument = poptGetArg(Context.get()))
-    Positional.emplace_back(Argument);
+  while (const char *Operand = poptGetArg(Context.get()))
+    Positional.emplace_back(Operand);
   return Positional;
 }
 
--- a/packages/adapters/http/guarded_server.cpp
+++ b/packages/adapters/http/guarded_server.cpp
@@ -165,8 +165,8 @@
     return;
   }
   ++ActiveRequests;
-  Threads->enqueue([this, Request = std::move(Pending)]() mutable {
-    serveRequest(Request);
+  Threads->enqueue([this, Accepted = std::move(Pending)]() mutable {
+    serveRequest(Accepted);
     --ActiveRequests;
   });
 }
--- a/packages/adapters/http/request_receiver.cpp
+++ b/packages/adapters/http/request_receiver.cpp
@@ -97,8 +97,8 @@
         extractRequest(Socket, Connection, Complete))
       removeConnection(Socket, false);
   }
-  for (ReceivedRequest &Request : Complete)
-    OnRequest(std::move(Request));
+  for (ReceivedRequest &Delivered : Complete)
+    OnRequest(std::move(Delivered));
 }
 
 void RequestReceiver::evictConnectionIfFull() {
@@ -136,8 +136,8 @@
         NextExpiry = now() + Millis(ExpiryPeriodMillis);
       }
     }
-    for (ReceivedRequest &Request : Complete)
-      OnRequest(std::move(Request));
+    for (ReceivedRequest &Delivered : Complete)
+      OnRequest(std::move(Delivered));
   }
 }
 
