--- a/packages/adapters/http/event_parser.cpp
+++ b/packages/adapters/http/event_parser.cpp
@@ -31,7 +31,7 @@
   return true;
 }
 
-bool EventParser::take(const char *Data, size_t n) {
+bool EventParser::parseBytes(const char *Data, size_t n) {
   if (Cancelled)
     return false;
   Buffer.append(Data, n);
--- a/packages/adapters/http/event_parser.h
+++ b/packages/adapters/http/event_parser.h
@@ -26,7 +26,7 @@
    * @param n Number of bytes.
    * @return False when the stream is to be closed.
    */
-  bool take(const char *Data, size_t n);
+  bool parseBytes(const char *Data, size_t n);
 
 private:
   /** Handles one line; false when the stream is to be closed. */
--- a/packages/adapters/http/guarded_server.cpp
+++ b/packages/adapters/http/guarded_server.cpp
@@ -124,7 +124,7 @@
 
 } // namespace
 
-bool callerGone() { return ServedSocket >= 0 && isPeerClosed(ServedSocket); }
+bool isCallerGone() { return ServedSocket >= 0 && isPeerClosed(ServedSocket); }
 
 GuardedServer::GuardedServer(const ListenerLimits &Limits)
     : MaxActiveRequests(Limits.Threads + Limits.MaxQueued),
@@ -141,7 +141,7 @@
   Threads->shutdown();
 }
 
-void GuardedServer::finish(std::thread &AcceptThread) {
+void GuardedServer::drainAndStop(std::thread &AcceptThread) {
   const auto Deadline = std::chrono::steady_clock::now() + FinishTimeout;
   while (ActiveRequests > 0 && std::chrono::steady_clock::now() < Deadline)
     std::this_thread::sleep_for(FinishPollInterval);
--- a/packages/adapters/http/guarded_server.h
+++ b/packages/adapters/http/guarded_server.h
@@ -29,7 +29,7 @@
    * bytes are not sent yet.
    * @param AcceptThread The thread that startServer() started; joined.
    */
-  void finish(std::thread &AcceptThread);
+  void drainAndStop(std::thread &AcceptThread);
 
 private:
   /** Passes an accepted connection to the receiver. */
@@ -51,7 +51,7 @@
  * current thread serves.
  * @return False also on a thread that serves no request.
  */
-bool callerGone();
+bool isCallerGone();
 
 } // namespace jacinthpond
 
--- a/packages/adapters/http/http_backends.cpp
+++ b/packages/adapters/http/http_backends.cpp
@@ -83,7 +83,7 @@
   Sent.body = Body.dump(-1, ' ', false, Json::error_handler_t::replace);
   Sent.set_header("Content-Type", "application/json");
   Sent.content_receiver = [&](const char *Data, size_t n, uint64_t, uint64_t) {
-    return Parser.take(Data, n);
+    return Parser.parseBytes(Data, n);
   };
   const httplib::Result Answer = Client.send(Sent);
   if (Parser.Cancelled)
@@ -121,7 +121,7 @@
   return checkOrderAnswer(Answer);
 }
 
-Result<std::string> HttpEngine::staged(const ChunkRef &) {
+Result<std::string> HttpEngine::readStagedContent(const ChunkRef &) {
   return fail(ErrorKind::NotFound, "this engine gives nothing back");
 }
 
--- a/packages/adapters/threads/pause_watch.h
+++ b/packages/adapters/threads/pause_watch.h
@@ -30,7 +30,7 @@
    * Records that the control thread is running.
    * @param Now Current time.
    */
-  void beat(TimePoint Now) {
+  void recordBeat(TimePoint Now) {
     const std::lock_guard Lock(Guard);
     if (Now - LastBeat > Threshold)
       ++Pauses;
--- a/packages/adapters/websocket/peer_links.h
+++ b/packages/adapters/websocket/peer_links.h
@@ -48,7 +48,7 @@
    * have closed them too.
    * @param Limit Longest wait.
    */
-  void finish(Millis Limit) {
+  void closeGracefully(Millis Limit) {
     Node.closeGracefully(static_cast<long>(Limit.count()));
   }
 
--- a/packages/agent/src/agent_admin.cpp
+++ b/packages/agent/src/agent_admin.cpp
@@ -52,7 +52,7 @@
   });
 }
 
-AgentAdmin::~AgentAdmin() { Server->finish(AcceptThread); }
+AgentAdmin::~AgentAdmin() { Server->drainAndStop(AcceptThread); }
 
 std::string AgentAdmin::start() {
   return startServer(*Server, ListenAddress, AcceptThread);
--- a/packages/agent/src/agent_shell.cpp
+++ b/packages/agent/src/agent_shell.cpp
@@ -109,7 +109,7 @@
     return At;
   ControlThread = std::thread([this] {
     Loop.run(TickPeriod, [this](TimePoint Now) {
-      Pauses.beat(Now);
+      Pauses.recordBeat(Now);
       Effects Out;
       for (const auto &[Link, Peer] : State.Transfer.Peers)
         if (Peer.BacklogBytes > 0)
@@ -197,10 +197,10 @@
   if (it == State.Attempts.end())
     return;
   const Attempt &One = it->second;
-  Timings.observe(Timing::Queued, State.View.InForce.get(), One.Asked.Tenant,
-                  One.Asked.Class, Clock.now() - One.Arrived);
+  Timings.observe(Timing::Queued, State.View.InForce.get(), One.StartMessage.Tenant,
+                  One.StartMessage.Class, Clock.now() - One.ArrivedAt);
   logLine(LogPart::Requests, LogLevel::Debug,
-          "Request " + One.Asked.Request.Value + ": attempt " + Which.Value +
+          "Request " + One.StartMessage.Request.Value + ": attempt " + Which.Value +
               " goes to the back end.");
 }
 
@@ -268,7 +268,7 @@
 void AgentShell::reportStagedChunks(const std::vector<ChunkRef> &Chunks) {
   size_t Mismatches = 0;
   for (const ChunkRef &Chunk : Chunks) {
-    auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
+    auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
     ChunkBytes Bytes;
     if (Read.Value)
       Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
@@ -315,7 +315,7 @@
                                     &std::pair<Digest, ChunkBytes>::first);
   if (it != RecentlyRead.end())
     return it->second;
-  auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
+  auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
   if (!Read.Value || sha256(*Read.Value) != Chunk.Content)
     return nullptr;
   auto Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
@@ -335,7 +335,7 @@
                                       const ChunkBytes &Bytes) {
   if (Bytes != nullptr)
     return Ports.Engine->stage(Chunk, *Bytes);
-  const auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
+  const auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
   if (Read.Value && sha256(*Read.Value) == Chunk.Content)
     return {};
   reportDamagedChunk(Chunk.Content);
@@ -346,12 +346,12 @@
   const TimePoint Limit = Clock.now() + MaxConfirmTime;
   for (size_t n = 0; n < Order.Chunks.size(); ++n) {
     const ChunkRef Chunk{Order.Model, Order.Version, n, Order.Chunks[n], {}};
-    auto Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
+    auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
     // An engine that does not answer now may have loaded the staged set all the
     // same, so the read is retried.
     while (!Read.Value && Clock.now() < Limit && !Ending) {
       std::this_thread::sleep_for(ConfirmRetryDelay);
-      Read = outcomeOf([&] { return Ports.Engine->staged(Chunk); });
+      Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
     }
     if (Read.Value && sha256(*Read.Value) == Chunk.Content)
       continue;
@@ -411,7 +411,7 @@
                 " ms=" + std::to_string(toMillis(Clock.now() - Began).count()));
   };
   LoadSteps Steps;
-  Steps.Taken = [&]() -> Result<void> {
+  Steps.OnAccepted = [&]() -> Result<void> {
     LogEvent("order_taken");
     BOOST_LEAF_CHECK(confirmStaged(Load.Order));
     LogEvent("load_confirmed");
@@ -507,7 +507,7 @@
   if (Open > 0)
     logLine(LogPart::Main, LogLevel::Error,
             "Shutdown cut off " + std::to_string(Open) + " attempts.");
-  Links.finish(FlushTimeout);
+  Links.closeGracefully(FlushTimeout);
   return Open == 0;
 }
 
--- a/packages/core/src/admission/admission.cpp
+++ b/packages/core/src/admission/admission.cpp
@@ -86,7 +86,7 @@
 
 } // namespace
 
-void turnCold(Admission &Gate) {
+void applyColdLimit(Admission &Gate) {
   Gate.Limit = std::min(Gate.Limits.Cold, Gate.Limits.Warm);
   Gate.CompletedAtLimit = 0;
   clearGaps(Gate.Pace);
@@ -103,7 +103,7 @@
   Gate.RunningAtReport = Gate.Running;
   Gate.ReportedCold = Cold;
   if (Cold && Gate.Limit > Gate.Limits.Cold)
-    turnCold(Gate);
+    applyColdLimit(Gate);
 }
 
 bool runsAtOnce(const Admission &Gate, uint32_t Kept) {
@@ -134,7 +134,7 @@
 
 void runEnded(Admission &Gate, const AttemptId &Attempt, RunEnd How,
               Duration Took) {
-  if (How == RunEnd::Whole) {
+  if (How == RunEnd::Complete) {
     updateServiceTime(Gate, Took);
     growLimit(Gate);
   }
@@ -142,7 +142,7 @@
     --Gate.Running;
   // A back end notices late that an answer is no longer read, so the slot stays
   // occupied until a report shows fewer running requests.
-  if (How == RunEnd::CutOff)
+  if (How == RunEnd::Abandoned)
     ++Gate.Lingering;
   if (Gate.Alone == Attempt)
     Gate.Alone.reset();
@@ -152,7 +152,7 @@
   recordGap(Gate.Pace, Gap, Gate.Limit >= Gate.Limits.Warm);
   if (Gate.Limit <= Gate.Limits.Cold || !isLikelyCold(Gate.Pace))
     return false;
-  turnCold(Gate);
+  applyColdLimit(Gate);
   return true;
 }
 
--- a/packages/core/src/admission/admission_func.h
+++ b/packages/core/src/admission/admission_func.h
@@ -16,7 +16,7 @@
  * fewer than the new limit are running.
  * @param Gate State to change.
  */
-void turnCold(Admission &Gate);
+void applyColdLimit(Admission &Gate);
 
 /**
  * Applies a load report of the back end, which may be out of date.
@@ -48,9 +48,9 @@
 
 /** How a run ended, with regard to the load of the back end. */
 enum class RunEnd : uint8_t {
-  Whole,    ///< Completed; only completed runs warm a back end.
-  NotBegun, ///< It never reached the back end.
-  CutOff    ///< Given up here; the back end may still run it.
+  Complete,    ///< Completed; only completed runs warm a back end.
+  NotStarted, ///< It never reached the back end.
+  Abandoned    ///< Given up here; the back end may still run it.
 };
 
 /**
--- a/packages/core/src/admission/admission_type.h
+++ b/packages/core/src/admission/admission_type.h
@@ -34,7 +34,7 @@
 
 /** Result of a request for admission. */
 struct AdmissionAnswer {
-  Admitted May = Admitted::Refuse;    ///< The decision.
+  Admitted Decision = Admitted::Refuse;    ///< The decision.
   Millis RetryAfter{0};               ///< Set for a refusal; 0: unknown.
   std::optional<AttemptId> PushedOut; ///< Removed from the full queue.
 };
--- a/packages/core/src/admission/quarantine.cpp
+++ b/packages/core/src/admission/quarantine.cpp
@@ -65,8 +65,8 @@
   if (One.Cleared.contains(Notice.DeathId))
     return false;
   const bool NewDeath = One.Deaths.insert(Notice.DeathId).second;
-  const bool NewProof = Notice.Alone && !One.Proven;
-  One.Proven = One.Proven || Notice.Alone;
+  const bool NewProof = Notice.WasAlone && !One.Proven;
+  One.Proven = One.Proven || Notice.WasAlone;
   One.Last = std::max(One.Last, Now - Age);
   return NewDeath || NewProof;
 }
--- a/packages/core/src/admission/reading.cpp
+++ b/packages/core/src/admission/reading.cpp
@@ -21,7 +21,7 @@
   return std::max(Debt.Backlog - (Now - Debt.UpdatedAt), Duration{0});
 }
 
-bool mayRead(const ReadingDebt &Debt, TimePoint Now) {
+bool maySendPrompt(const ReadingDebt &Debt, TimePoint Now) {
   return readingLeft(Debt, Now) <= MaxReadingLeft;
 }
 
--- a/packages/core/src/admission/reading_func.h
+++ b/packages/core/src/admission/reading_func.h
@@ -30,7 +30,7 @@
  * @param Now Current time.
  * @return False while too much is left to read.
  */
-bool mayRead(const ReadingDebt &Debt, TimePoint Now);
+bool maySendPrompt(const ReadingDebt &Debt, TimePoint Now);
 
 /**
  * Gives the time to read one prompt.
--- a/packages/core/src/admission/server_rate.cpp
+++ b/packages/core/src/admission/server_rate.cpp
@@ -19,7 +19,7 @@
 RateChange rateNamed(ServerRate &Rate, double PerSecond, TimePoint HeardAt) {
   if (HeardAt < Rate.LiftedAt)
     return RateChange::None;
-  Rate.NamedAt = std::max(Rate.NamedAt, HeardAt);
+  Rate.LimitSeenAt = std::max(Rate.LimitSeenAt, HeardAt);
   if (Rate.PerSecond == PerSecond)
     return RateChange::None;
   if (!Rate.PerSecond)
@@ -29,7 +29,7 @@
 }
 
 RateChange rateNotNamed(ServerRate &Rate, TimePoint SentAt) {
-  if (SentAt < Rate.NamedAt)
+  if (SentAt < Rate.LimitSeenAt)
     return RateChange::None;
   Rate.LiftedAt = std::max(Rate.LiftedAt, SentAt);
   if (!Rate.PerSecond)
--- a/packages/core/src/admission/token_pace.cpp
+++ b/packages/core/src/admission/token_pace.cpp
@@ -32,15 +32,15 @@
   if (!WholeWindow || !AtWarmLimit || isLikelyCold(Pace))
     return;
   const Duration Median = medianGap(Pace);
-  Pace.Warm = Pace.Warm.count() == 0
+  Pace.WarmGap = Pace.WarmGap.count() == 0
                   ? Median
-                  : (Pace.Warm * OldWeight + Median) / (OldWeight + 1);
+                  : (Pace.WarmGap * OldWeight + Median) / (OldWeight + 1);
 }
 
 void clearGaps(TokenPace &Pace) { Pace.Seen = 0; }
 
 bool farOverWarm(const TokenPace &Pace, Duration Gap) {
-  return Pace.Warm.count() > 0 && Gap > Pace.Warm * ColdFactor &&
+  return Pace.WarmGap.count() > 0 && Gap > Pace.WarmGap * ColdFactor &&
          Gap > MinColdGap;
 }
 
--- a/packages/core/src/admission/token_pace_type.h
+++ b/packages/core/src/admission/token_pace_type.h
@@ -18,7 +18,7 @@
 struct TokenPace {
   std::array<Duration, PaceWindow> Recent{}; ///< Latest gaps, a ring buffer.
   size_t Seen = 0;                           ///< Gaps since the last reset.
-  Duration Warm{0}; ///< Typical gap while warm; 0: unknown.
+  Duration WarmGap{0}; ///< Typical gap while warm; 0: unknown.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/attempts/agent.cpp
+++ b/packages/core/src/attempts/agent.cpp
@@ -108,7 +108,7 @@
   const auto Kind =
       std::ranges::find(Doc.Services, it->Service, &Service::Name);
   if (Kind != Doc.Services.end())
-    Agent.Reading.TokensPerSecond = Kind->ReadPerSecond;
+    Agent.Prefill.TokensPerSecond = Kind->ReadPerSecond;
   if (it->Id != Agent.ListedServer.Id ||
       it->ColdFor != Agent.ListedServer.ColdFor) {
     Agent.ColdUntil = Now + it->ColdFor;
@@ -170,7 +170,7 @@
   if (!isMostlyStalled(Agent, Now) ||
       Agent.Gate.Limit <= Agent.Gate.Limits.Cold)
     return;
-  turnCold(Agent.Gate);
+  applyColdLimit(Agent.Gate);
   Out.push_back(
       LogNote{LogPart::Admission, LogLevel::Warn,
               "Most answers have stalled; the back end counts as cold."});
@@ -235,9 +235,9 @@
 /** Classifies the end of a run for admission control. */
 RunEnd runEndOf(bool Complete, const Outcome<EngineEnd> &End) {
   if (Complete)
-    return RunEnd::Whole;
+    return RunEnd::Complete;
   const bool NeverSent = !End.Value && End.Why.Kind == ErrorKind::Unreachable;
-  return NeverSent || End.Value ? RunEnd::NotBegun : RunEnd::CutOff;
+  return NeverSent || End.Value ? RunEnd::NotStarted : RunEnd::Abandoned;
 }
 
 } // namespace
@@ -251,13 +251,13 @@
                        static_cast<uint32_t>(Config.ColdLimit),
                        static_cast<uint32_t>(Config.QueueLimit),
                        static_cast<uint32_t>(Config.WarmAfter)};
-  turnCold(Agent.Gate);
+  applyColdLimit(Agent.Gate);
   Effects None; // Dropped: the first tick opens the links.
   wantPeers(Agent.Fleet, seedPeers(Config), None);
   Agent.Weights.AtEngine = runsOnStore(Config);
   Agent.Transfer = makeTransfer(Config);
   Agent.Keys = makeKeyBook(Now);
-  Agent.Keys.Runs.insert(Run);
+  Agent.Keys.KnownIncarnations.insert(Run);
   return Agent;
 }
 
@@ -405,12 +405,12 @@
   const auto it = Agent.Attempts.find(Which);
   // A plain service does not report what it runs. A run without an answer
   // therefore counts as over at once.
-  runEnded(Agent.Gate, Which, Answer.Value ? RunEnd::Whole : RunEnd::NotBegun,
+  runEnded(Agent.Gate, Which, Answer.Value ? RunEnd::Complete : RunEnd::NotStarted,
            it == Agent.Attempts.end() ? Duration{0}
                                       : Now - it->second.StartedAt);
   if (it == Agent.Attempts.end())
     return;
-  const AttemptStart Asked = it->second.Asked;
+  const AttemptStart Asked = it->second.StartMessage;
   if (Answer.Value) {
     sendFrame(it->second, Answer.Value->Body, Out);
     finishAttempt(Agent, Which, Answer.Value->Status, Out);
@@ -453,7 +453,7 @@
     applyReportedRate(Agent, *Read.Value, Now, Out);
   resolveBrokenRuns(Agent, Run, Now, Out);
   if (Restarted) {
-    turnCold(Agent.Gate);
+    applyColdLimit(Agent.Gate);
     refuseWaiting(Agent, ErrorKind::ColdStart, Out);
   }
   if (Read.Value)
@@ -469,7 +469,7 @@
   Agent.BackEndUp = Read.Value.has_value();
   const std::string Run = Read.Value.value_or("");
   if (Run != Agent.ServiceRun)
-    turnCold(Agent.Gate);
+    applyColdLimit(Agent.Gate);
   Agent.ServiceRun = Run;
   announceLoadChange(Agent, Now, Out);
 }
@@ -534,7 +534,7 @@
   const auto it = Agent.Fleet.Links.find(Link);
   if (it != Agent.Fleet.Links.end() &&
       it->second.Peer.Domain != Agent.Fleet.Self.Domain)
-    rateYield(Agent.Transfer.Across, Bytes, Now);
+    rateYield(Agent.Transfer.CrossDomain, Bytes, Now);
 }
 
 void linkBacklog(AgentState &Agent, LinkId Link, uint64_t Bytes) {
@@ -551,12 +551,12 @@
     orderConfirmed(Agent.Weights);
   else if (Unknown)
     orderUnconfirmed(Agent.Weights);
-  turnCold(Agent.Gate);
+  applyColdLimit(Agent.Gate);
   if (Why)
     Out.push_back(
         LogNote{LogPart::Weights, LogLevel::Warn,
                 "Load order failed: " + Why->Detail +
-                    " event=load_failed set=" + Agent.Weights.Ordered.Value +
+                    " event=load_failed set=" + Agent.Weights.OrderedSet.Value +
                     " may_be_loaded=" + (Unknown ? "yes" : "no")});
 }
 
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -28,9 +28,9 @@
 
 /** One attempt at this agent: queued or running. */
 struct Attempt {
-  AttemptStart Asked;    ///< Request from the entry.
+  AttemptStart StartMessage;    ///< Request from the entry.
   LinkId Link;           ///< Link of the entry that gets the answer.
-  TimePoint Arrived;     ///< When the request arrived.
+  TimePoint ArrivedAt;     ///< When the request arrived.
   TimePoint Deadline;    ///< After this the answer is of no use.
   TimePoint StartedAt;   ///< When it was sent to the back end.
   TimePoint LastTokenAt; ///< When its latest token arrived; zero: none yet.
@@ -77,7 +77,7 @@
   Settings Config;          ///< Settings of this process.
   ConfigView View;          ///< Published configuration.
   Membership Fleet;         ///< Links to entries and agents.
-  ReadingDebt Reading;      ///< Prompts sent to the back end and not read yet.
+  ReadingDebt Prefill;      ///< Prompts sent to the back end and not read yet.
   FirstPartTime FirstPart;  ///< Observed time to the first part of an answer.
   Admission Gate;           ///< Concurrency limit, running and queued work.
   ServerRate Rate;          ///< Rate limit that the back end itself announces.
--- a/packages/core/src/attempts/attempt.cpp
+++ b/packages/core/src/attempts/attempt.cpp
@@ -76,7 +76,7 @@
   Ended.Final = std::move(Final);
   if (One.BegunSent)
     Ended.Weights = One.Weights;
-  Ended.FirstFrame = One.Asked.ResumeFrom;
+  Ended.FirstFrame = One.StartMessage.ResumeFrom;
   Ended.Frames = std::move(One.Frames);
   const auto *Failed = std::get_if<AttemptFailed>(&Ended.Final);
   const bool NeverRan = Failed != nullptr && Failed->Executed == Ran::No;
@@ -157,7 +157,7 @@
   if (Agent.Config.FifoQueue)
     One.Who = {m.Attempt, {}, 1, 1};
   One.Remaining = Millis(static_cast<int64_t>(m.RemainingMillis));
-  One.Alone = m.Alone;
+  One.Alone = m.MustRunAlone;
   return One;
 }
 
@@ -197,29 +197,29 @@
                   Effects &Out) {
   One.State = AttemptKnown::Running;
   One.StartedAt = Now;
-  One.RanAlone = Agent.Gate.Alone == One.Asked.Attempt;
+  One.RanAlone = Agent.Gate.Alone == One.StartMessage.Attempt;
   ++Agent.Counters.Started;
   countBackEndRequest(Agent, Now);
-  const WorkClass *Class = findClass(*Agent.View.InForce, One.Asked.Class);
+  const WorkClass *Class = findClass(*Agent.View.InForce, One.StartMessage.Class);
   if (!Agent.Config.EngineUrl.empty()) {
     EngineRequest Request;
-    Request.Attempt = One.Asked.Attempt;
-    Request.Body = One.Asked.Body;
+    Request.Attempt = One.StartMessage.Attempt;
+    Request.Body = One.StartMessage.Body;
     Request.Priority = Class == nullptr ? 1 : Class->Priority;
-    Request.ResumeFrom = One.Asked.ResumeFrom;
+    Request.ResumeFrom = One.StartMessage.ResumeFrom;
     Out.push_back(RunModel{Request});
     return;
   }
   ServiceCall Call;
-  Call.Attempt = One.Asked.Attempt;
-  Call.Class = One.Asked.Class;
-  Call.Key = One.Asked.Key;
-  Call.Body = One.Asked.Body;
+  Call.Attempt = One.StartMessage.Attempt;
+  Call.Class = One.StartMessage.Class;
+  Call.Key = One.StartMessage.Key;
+  Call.Body = One.StartMessage.Body;
   Call.Timeout = toMillis(One.Deadline - Now);
   // Waits longer than the caller does, so that a repeat gets the answer.
   if (!Call.Key.Value.empty())
     Call.Timeout = std::max(Call.Timeout, Agent.View.InForce->RetryHorizon);
-  markKeyRunning(Agent, One.Asked);
+  markKeyRunning(Agent, One.StartMessage);
   sendBegun(One, {}, Out);
   Out.push_back(RunService{Call});
 }
@@ -227,7 +227,7 @@
 /** Starts an attempt, queues it, or refuses it as not run. */
 void admitAttempt(AgentState &Agent, Attempt &One, TimePoint Now,
                   Effects &Out) {
-  const AttemptStart &m = One.Asked;
+  const AttemptStart &m = One.StartMessage;
   const Suspicion Suspected = suspicionOf(Agent, m, Now);
   if (Suspected == Suspicion::Refuse) {
     failAttempt(Agent, AttemptId(m.Attempt), quarantineFailure(Agent, m, Now),
@@ -241,12 +241,12 @@
                !isMostlyStalled(Agent, Now) && isWithinRateLimits(Agent, Now));
   if (Answer.PushedOut)
     refuseEvicted(Agent, *Answer.PushedOut, Out);
-  if (Answer.May == Admitted::Refuse)
+  if (Answer.Decision == Admitted::Refuse)
     failAttempt(Agent, AttemptId(m.Attempt),
                 {ErrorKind::Overloaded, "queue full",
                  jitteredWait(Answer.RetryAfter, m.Attempt)},
                 Ran::No, Out);
-  if (Answer.May == Admitted::Run)
+  if (Answer.Decision == Admitted::Run)
     beginAttempt(Agent, One, Now, Out);
 }
 
@@ -274,9 +274,9 @@
     return;
   }
   Attempt One;
-  One.Asked = m;
+  One.StartMessage = m;
   One.Link = Link;
-  One.Arrived = Now;
+  One.ArrivedAt = Now;
   One.Deadline = Now + Millis(static_cast<int64_t>(m.RemainingMillis));
   if (Keyed && answerFromKeyRecord(Agent, One, Refusal, Now, Out))
     return;
@@ -298,7 +298,7 @@
     return;
   }
   // A call with a key continues, since its record needs the result.
-  if (it->second.Asked.Key.Value.empty())
+  if (it->second.StartMessage.Key.Value.empty())
     Out.push_back(CancelRun{Which});
   startWaitingWork(Agent, Now, Out);
 }
@@ -317,11 +317,11 @@
   m.RetryAfterMillis = static_cast<uint64_t>(Why.RetryAfter.count());
   Out.push_back(SendMessage{it->second.Link, m});
   Out.push_back(LogNote{LogPart::Requests, LogLevel::Info,
-                        "Request " + it->second.Asked.Request.Value +
+                        "Request " + it->second.StartMessage.Request.Value +
                             ": attempt " + Which.Value +
                             " failed: " + answerFor(Why.Kind).Name + ", ran " +
                             std::string(ranName(Executed)) + "."});
-  const AttemptStart Asked = it->second.Asked;
+  const AttemptStart Asked = it->second.StartMessage;
   archiveAttempt(Agent, Which, m);
   settleFailedKey(Agent, Asked, Why, Executed, Out);
 }
@@ -354,7 +354,7 @@
     Out.push_back(SendMessage{Link, AttemptStatus{m.Attempt, One.State, Self}});
     if (One.BegunSent)
       Out.push_back(SendMessage{Link, AttemptBegun{m.Attempt, One.Weights}});
-    resendFrames(Link, m.Attempt, One.Asked.ResumeFrom, One.Frames, m.NextFrame,
+    resendFrames(Link, m.Attempt, One.StartMessage.ResumeFrom, One.Frames, m.NextFrame,
                  Out);
     return;
   }
@@ -395,19 +395,19 @@
 }
 
 uint64_t nextFrameNumber(const Attempt &One) {
-  return One.Asked.ResumeFrom + One.Frames.size();
+  return One.StartMessage.ResumeFrom + One.Frames.size();
 }
 
 void sendBegun(Attempt &One, const Digest &Weights, Effects &Out) {
   One.BegunSent = true;
   One.Weights = Weights;
   Out.push_back(
-      SendMessage{One.Link, AttemptBegun{One.Asked.Attempt, Weights}});
+      SendMessage{One.Link, AttemptBegun{One.StartMessage.Attempt, Weights}});
 }
 
 void sendFrame(Attempt &One, const std::string &Data, Effects &Out) {
   Out.push_back(SendMessage{
-      One.Link, AnswerFrame{One.Asked.Attempt, nextFrameNumber(One), Data}});
+      One.Link, AnswerFrame{One.StartMessage.Attempt, nextFrameNumber(One), Data}});
   One.Frames.push_back(Data);
 }
 
@@ -415,7 +415,7 @@
   // Checks for stalls here too: the tick that lowers the limit may come late
   // when this process itself gets little processor time. The back end's next
   // report starts the rest.
-  while (mayRead(Agent.Reading, Now) && !isMostlyStalled(Agent, Now) &&
+  while (maySendPrompt(Agent.Prefill, Now) && !isMostlyStalled(Agent, Now) &&
          isWithinRateLimits(Agent, Now)) {
     const auto Next = nextToRun(Agent.Gate);
     if (!Next)
@@ -429,7 +429,7 @@
       beginAttempt(Agent, One, Now, Out);
       continue;
     }
-    runEnded(Agent.Gate, *Next, RunEnd::NotBegun, {});
+    runEnded(Agent.Gate, *Next, RunEnd::NotStarted, {});
     failAttempt(Agent, *Next, {ErrorKind::Deadline, "waited too long", {}},
                 Ran::No, Out);
   }
@@ -438,19 +438,19 @@
 void readmitSuspect(AgentState &Agent, const AttemptId &Which, TimePoint Now,
                     Effects &Out) {
   Attempt &One = Agent.Attempts.at(Which);
-  if (suspicionOf(Agent, One.Asked, Now) == Suspicion::Refuse) {
-    failAttempt(Agent, Which, quarantineFailure(Agent, One.Asked, Now), Ran::No,
+  if (suspicionOf(Agent, One.StartMessage, Now) == Suspicion::Refuse) {
+    failAttempt(Agent, Which, quarantineFailure(Agent, One.StartMessage, Now), Ran::No,
                 Out);
     return;
   }
-  Admittee Candidate = admissionRequestOf(Agent, One.Asked);
+  Admittee Candidate = admissionRequestOf(Agent, One.StartMessage);
   Candidate.Alone = true;
   const AdmissionAnswer Answer = askToRun(Agent.Gate, Candidate);
-  if (Answer.May == Admitted::Refuse)
+  if (Answer.Decision == Admitted::Refuse)
     failAttempt(Agent, Which,
                 {ErrorKind::Overloaded, "queue full", Answer.RetryAfter},
                 Ran::No, Out);
-  if (Answer.May == Admitted::Run)
+  if (Answer.Decision == Admitted::Run)
     beginAttempt(Agent, One, Now, Out);
 }
 
--- a/packages/core/src/attempts/back_end_death.cpp
+++ b/packages/core/src/attempts/back_end_death.cpp
@@ -55,9 +55,9 @@
     One.ReportedDeath = Agent.Fleet.Self.Name.Value + "/" + Agent.BackEndRun +
                         "/" + std::to_string(Agent.WithdrawnDeaths);
   SuspectNotice Notice;
-  Notice.Fingerprint = fingerprintOf(One.Asked);
+  Notice.Fingerprint = fingerprintOf(One.StartMessage);
   Notice.DeathId = One.ReportedDeath;
-  Notice.Alone = One.RanAlone;
+  Notice.WasAlone = One.RanAlone;
   if (noteSuspect(Agent.Suspects, Notice, Now))
     spreadNotice(Agent.Fleet, Notice, {}, Out);
 }
@@ -70,7 +70,7 @@
     return;
   // Gives a later death of the same incarnation a new id.
   ++Agent.WithdrawnDeaths;
-  const SuspectNotice Notice{fingerprintOf(One.Asked), One.ReportedDeath, 0,
+  const SuspectNotice Notice{fingerprintOf(One.StartMessage), One.ReportedDeath, 0,
                              false, true};
   if (noteSuspect(Agent.Suspects, Notice, Now))
     spreadNotice(Agent.Fleet, Notice, {}, Out);
@@ -145,7 +145,7 @@
 void clearSuspicion(AgentState &Agent, const Attempt &One, TimePoint Now,
                     Effects &Out) {
   if (!Agent.Suspects.Suspects.empty())
-    clearSuspect(Agent.Suspects, fingerprintOf(One.Asked), Agent.Fleet, Now,
+    clearSuspect(Agent.Suspects, fingerprintOf(One.StartMessage), Agent.Fleet, Now,
                  Out);
 }
 
@@ -154,7 +154,7 @@
   if (!noteSuspect(Agent.Suspects, Notice, Now) || Notice.Cleared)
     return;
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
-    const AttemptStart Asked = Agent.Attempts.at(Which).Asked;
+    const AttemptStart Asked = Agent.Attempts.at(Which).StartMessage;
     if (fingerprintOf(Asked) != Notice.Fingerprint)
       continue;
     stopWaiting(Agent.Gate, Which);
--- a/packages/core/src/attempts/call.cpp
+++ b/packages/core/src/attempts/call.cpp
@@ -132,7 +132,7 @@
   m.Token = ActiveCall.Received.Token;
   m.ResumeOn = ActiveCall.Weights;
   m.ResumeFrom = ActiveCall.NextFrame;
-  m.Alone = suspicionOf(Entry, ActiveCall, Now) == Suspicion::RunAlone;
+  m.MustRunAlone = suspicionOf(Entry, ActiveCall, Now) == Suspicion::RunAlone;
   Out.push_back(SendMessage{To.Link, m});
 }
 
@@ -181,7 +181,7 @@
                            TimePoint Now, Effects &Out) {
   std::vector<CallId> Selected;
   for (const auto &[Id, ActiveCall] : Entry.Calls)
-    if (ActiveCall.Attempt.LostSince && IsSelected(ActiveCall))
+    if (ActiveCall.Attempt.LinkLostAt && IsSelected(ActiveCall))
       Selected.push_back(Id);
   for (const CallId Id : Selected)
     abandonLostAttempt(Entry, Entry.Calls.at(Id), Now, Out);
@@ -304,7 +304,7 @@
     ++Entry.Counters.DroppedFrames;
     return;
   }
-  ActiveCall->Attempt.Begun = true;
+  ActiveCall->Attempt.Started = true;
   if (ActiveCall->NextFrame == 0) {
     ActiveCall->Weights = m.Weights;
     return;
@@ -376,9 +376,9 @@
 void markAttemptsLost(EntryState &Entry, LinkId Link, TimePoint Now) {
   for (auto &[Id, ActiveCall] : Entry.Calls) {
     OpenAttempt &Attempt = ActiveCall.Attempt;
-    if (Attempt.Link != Link || Attempt.Id.Value.empty() || Attempt.LostSince)
+    if (Attempt.Link != Link || Attempt.Id.Value.empty() || Attempt.LinkLostAt)
       continue;
-    Attempt.LostSince = Now;
+    Attempt.LinkLostAt = Now;
     Attempt.Link = LinkId{};
   }
 }
@@ -387,7 +387,7 @@
                         TimePoint Now, Effects &Out) {
   for (auto &[Id, ActiveCall] : Entry.Calls) {
     OpenAttempt &Attempt = ActiveCall.Attempt;
-    if (!Attempt.LostSince || Attempt.Worker != Worker)
+    if (!Attempt.LinkLostAt || Attempt.Worker != Worker)
       continue;
     Attempt.Link = Link;
     Out.push_back(
@@ -402,12 +402,12 @@
 void handleAttemptStatus(EntryState &Entry, const AttemptStatus &m,
                          TimePoint Now, Effects &Out) {
   Call *ActiveCall = findCall(Entry, m.Attempt);
-  if (ActiveCall == nullptr || !ActiveCall->Attempt.LostSince) {
+  if (ActiveCall == nullptr || !ActiveCall->Attempt.LinkLostAt) {
     ++Entry.Counters.DroppedFrames;
     return;
   }
   if (m.Known != AttemptKnown::NeverSeen) {
-    ActiveCall->Attempt.LostSince.reset();
+    ActiveCall->Attempt.LinkLostAt.reset();
     ++Entry.Counters.Recovered;
     return;
   }
@@ -443,7 +443,7 @@
         const Millis Wait = isRepeatable(Entry, ActiveCall)
                                 ? LostRepeatableTimeout
                                 : LostKeyedTimeout;
-        return Now - *ActiveCall.Attempt.LostSince >= Wait;
+        return Now - *ActiveCall.Attempt.LinkLostAt >= Wait;
       },
       Now, Out);
   endCallsWaitingForHomeIf(
@@ -462,7 +462,7 @@
   for (const CallId Id : Expired) {
     const Call &ActiveCall = Entry.Calls.at(Id);
     const bool Sent = !ActiveCall.Attempt.Id.Value.empty();
-    if (Sent && !ActiveCall.Attempt.LostSince)
+    if (Sent && !ActiveCall.Attempt.LinkLostAt)
       Out.push_back(SendMessage{ActiveCall.Attempt.Link,
                                 AttemptCancel{ActiveCall.Attempt.Id}});
     Failure Why{Sent ? ErrorKind::OutcomeUnknown : ErrorKind::Deadline,
--- a/packages/core/src/attempts/chunk_list.cpp
+++ b/packages/core/src/attempts/chunk_list.cpp
@@ -45,7 +45,7 @@
   const ChunkListTold Told{Wanted.Name, Wanted.Version, Wanted.ChunkBytes,
                            Wanted.Chunks};
   for (const auto &[Link, Peer] : Agent.Transfer.Peers)
-    if (Peer.SameDomain && Peer.Told.Set != Wanted.Set)
+    if (Peer.SameDomain && Peer.Announced.Set != Wanted.Set)
       Out.push_back(SendMessage{Link, Told});
 }
 
@@ -83,7 +83,7 @@
 Millis delayBeforeReading(const AgentState &Agent) {
   const ChunkPlan &Plan = Agent.Transfer.Plan;
   const bool IsReader =
-      !planned(Plan) || Plan.Hosts[Plan.Self].Rank < ListReadersPerDomain;
+      !isPlanned(Plan) || Plan.Hosts[Plan.Self].Rank < ListReadersPerDomain;
   return IsReader ? Millis{0} : ListNoticeTimeout;
 }
 
--- a/packages/core/src/attempts/entry_type.h
+++ b/packages/core/src/attempts/entry_type.h
@@ -36,8 +36,8 @@
   HostName Worker;    ///< Worker that it was sent to.
   LinkId Link;        ///< Link that it was sent over; none while lost.
   Incarnation Run;    ///< Incarnation of the agent it was sent to.
-  bool Begun = false; ///< Started by the back end.
-  std::optional<TimePoint> LostSince; ///< Set while its link is lost.
+  bool Started = false; ///< Started by the back end.
+  std::optional<TimePoint> LinkLostAt; ///< Set while its link is lost.
   uint64_t FirstFrame = 0;            ///< Sequence of its first frame.
   size_t TextOffset = 0; ///< Start of its first frame in Call::Text.
 };
--- a/packages/core/src/attempts/idempotency.cpp
+++ b/packages/core/src/attempts/idempotency.cpp
@@ -59,7 +59,7 @@
     return {KeyChoice::Unknown, Millis{0}, "another home by token"};
   // The records that the token refers to are gone, so nobody knows whether the
   // key ran. No other process may run it with this token either.
-  if (!Store.Runs.contains(Home.Run) || Home.Epoch + KeptEpochs <= Store.Epoch)
+  if (!Store.KnownIncarnations.contains(Home.Run) || Home.Epoch + KeptEpochs <= Store.Epoch)
     return {KeyChoice::Unknown, Millis{0}, "the home of the token is gone"};
   return {KeyChoice::Run, Millis{0}, ""};
 }
@@ -151,7 +151,7 @@
   KeyRecord &Record = Store.Records[Request.Key];
   Record.Body = Request.Body;
   Record.Token = Request.Token;
-  Record.First = First;
+  Record.FirstAttempt = First;
   // A repeat may begin at the end of the horizon and take until its deadline.
   const TimePoint End = Request.Token.empty()
                             ? Now + 2 * keyRetryHorizon(Doc, Request.Key)
@@ -218,10 +218,10 @@
 }
 
 void expireKeys(KeyBook &Store, Incarnation Run, TimePoint Now) {
-  Store.Runs.insert(Run);
-  if (Store.Runs.size() > MaxIncarnations)
-    Store.Runs.erase(*Store.Runs.begin() == Run ? std::next(Store.Runs.begin())
-                                                : Store.Runs.begin());
+  Store.KnownIncarnations.insert(Run);
+  if (Store.KnownIncarnations.size() > MaxIncarnations)
+    Store.KnownIncarnations.erase(*Store.KnownIncarnations.begin() == Run ? std::next(Store.KnownIncarnations.begin())
+                                                : Store.KnownIncarnations.begin());
   // Records expire at their time even if the process was paused for epochs, so
   // the tokens of the missed epochs must become invalid too.
   const auto PassedEpochs = (Now - Store.EpochStart) / Duration(KeyEpochLength);
--- a/packages/core/src/attempts/idempotency_type.h
+++ b/packages/core/src/attempts/idempotency_type.h
@@ -39,7 +39,7 @@
   std::optional<ServiceAnswer> Answer; ///< Set when Done and still kept.
   std::string Token;                ///< Home token of the call; empty for none.
   TimePoint ExpiresAt;              ///< When the record is removed.
-  AttemptId First;                  ///< The attempt that runs the call.
+  AttemptId FirstAttempt;                  ///< The attempt that runs the call.
   std::vector<AttemptId> Followers; ///< Repeats that get the same answer.
 };
 
@@ -57,7 +57,7 @@
   size_t AnswerBytes = 0;     ///< Total size of the answers.
   uint64_t Epoch = 1;         ///< Epoch that new tokens name.
   TimePoint EpochStart;       ///< When the epoch began.
-  std::set<Incarnation> Runs; ///< Incarnations that made these records.
+  std::set<Incarnation> KnownIncarnations; ///< Incarnations that made these records.
   TimePoint Started; ///< Calls from before this time may have run unrecorded.
   std::deque<PastDocument> PastDocuments; ///< Recent documents, oldest first.
 };
--- a/packages/core/src/attempts/keyed_attempt.cpp
+++ b/packages/core/src/attempts/keyed_attempt.cpp
@@ -26,7 +26,7 @@
   if (Asked.Key.Value.empty())
     return nullptr;
   const auto it = Agent.Keys.Records.find(keyNameOf(Asked));
-  if (it == Agent.Keys.Records.end() || it->second.First != Asked.Attempt)
+  if (it == Agent.Keys.Records.end() || it->second.FirstAttempt != Asked.Attempt)
     return nullptr;
   return &it->second;
 }
@@ -103,7 +103,7 @@
 bool answerFromKeyRecord(AgentState &Agent, const Attempt &One,
                          std::optional<ErrorKind> Refusal, TimePoint Now,
                          Effects &Out) {
-  const AttemptStart &Asked = One.Asked;
+  const AttemptStart &Asked = One.StartMessage;
   KeyVerdict Verdict{KeyChoice::Warming, Millis{0}, "no configuration yet"};
   if (Agent.View.InForce)
     Verdict = judgeKey(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
--- a/packages/core/src/attempts/place.cpp
+++ b/packages/core/src/attempts/place.cpp
@@ -49,10 +49,10 @@
                     const Failure *Refusal, Duration Waited, TimePoint Now,
                     Effects &Out) {
   PlaceAnswer m;
-  m.Place = Asked.Place;
+  m.SlotId = Asked.SlotId;
   m.ReadingMillis =
-      static_cast<uint32_t>(toMillis(readingLeft(Agent.Reading, Now)).count());
-  m.Given = Refusal == nullptr;
+      static_cast<uint32_t>(toMillis(readingLeft(Agent.Prefill, Now)).count());
+  m.Granted = Refusal == nullptr;
   if (Refusal != nullptr) {
     m.Why = Refusal->Kind;
     m.RetryAfterMillis = static_cast<uint64_t>(Refusal->RetryAfter.count());
@@ -60,14 +60,14 @@
   Out.push_back(SendMessage{Link, m});
   Out.push_back(LogNote{
       LogPart::Admission, LogLevel::Info,
-      "event=place id=" + Asked.Request.Value + " place=" + Asked.Place.Value +
-          " outcome=" + (m.Given ? "given" : answerFor(m.Why).Name) +
+      "event=place id=" + Asked.Request.Value + " place=" + Asked.SlotId.Value +
+          " outcome=" + (m.Granted ? "given" : answerFor(m.Why).Name) +
           " busy=" + std::to_string(Agent.Gate.Running + Agent.Gate.Lingering) +
           " limit=" + std::to_string(Agent.Gate.Limit) +
           " waiting=" + std::to_string(Agent.Gate.Waiting.Size) +
           " reading_ms=" + std::to_string(m.ReadingMillis) +
-          " most_reading_ms=" + std::to_string(Asked.MostReadingMillis) +
-          " spare_only=" + (Asked.Spare ? "yes" : "no") +
+          " most_reading_ms=" + std::to_string(Asked.MaxReadingMillis) +
+          " spare_only=" + (Asked.SpareOnly ? "yes" : "no") +
           " waited_ms=" + std::to_string(toMillis(Waited).count()) +
           " rate=" + rateText(Agent.Rate) + " cold_ms=" +
           std::to_string(
@@ -124,7 +124,7 @@
   if (m.FirstPartMillis == 0)
     return Longest;
   const Duration Takes = firstPartAfter(
-      Agent.FirstPart, readingTime(Agent.Reading, m.PromptTokens));
+      Agent.FirstPart, readingTime(Agent.Prefill, m.PromptTokens));
   return std::clamp(toDuration(m.FirstPartMillis) - Takes, Duration{0},
                     Longest);
 }
@@ -137,7 +137,7 @@
   One.RequestMessage = m;
   One.RequestedAt = One.GrantedAt = Now;
   One.WaitUntil = Now + MayWait;
-  Agent.SlotsById[m.Place] = One;
+  Agent.SlotsById[m.SlotId] = One;
 }
 
 /** Removes a slot from the queue in which it waits. */
@@ -151,7 +151,7 @@
   const uint32_t Kept =
       std::min(ReservedSlots, Agent.Gate.Limit / ReservedDivisor);
   return runsAtOnce(Agent.Gate, Kept) && isWithinRateLimits(Agent, Now) &&
-         readingLeft(Agent.Reading, Now) <= MaxSpareReading;
+         readingLeft(Agent.Prefill, Now) <= MaxSpareReading;
 }
 
 /** Grants or queues a late request for spare capacity; refuses it if capacity
@@ -168,23 +168,23 @@
     return;
   }
   addSlot(Agent, Link, m, toDuration(m.WaitMillis), Now);
-  Agent.SpareQueue.push_back(m.Place);
+  Agent.SpareQueue.push_back(m.SlotId);
   grantSpareSlots(Agent, Now, Out);
 }
 
 /** Says whether the back end is too busy for a request that asks for an idle
  * one. */
 bool isTooBusy(const AgentState &Agent, const PlaceAsk &m, TimePoint Now) {
-  return m.MostReadingMillis > 0 &&
+  return m.MaxReadingMillis > 0 &&
          (!runsAtOnce(Agent.Gate) ||
-          readingLeft(Agent.Reading, Now) > Millis(m.MostReadingMillis));
+          readingLeft(Agent.Prefill, Now) > Millis(m.MaxReadingMillis));
 }
 
 /** Describes a slot to admission control: workspace, priority, time left. */
 Admittee admissionRequestOf(const AgentState &Agent, const PlaceAsk &m,
                             Duration MayWait) {
   Admittee One;
-  One.Who = {m.Place, m.Tenant, 1,
+  One.Who = {m.SlotId, m.Tenant, 1,
              RankZeroPriority - std::min(m.Rank, RankZeroPriority)};
   // MayWait ends with the begin of the run; admission counts until its end.
   One.Remaining = MayWait + Agent.Gate.ServiceTime;
@@ -195,7 +195,7 @@
 
 void handleSlotRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
                        TimePoint Now, Effects &Out) {
-  if (Agent.SlotsById.contains(m.Place))
+  if (Agent.SlotsById.contains(m.SlotId))
     return; // A repeat; the first answer counts.
   if (const auto Reason = refusalReason(Agent, Now)) {
     refuseRequest(Agent, Link, m, *Reason, Millis{0}, Now, Out);
@@ -210,7 +210,7 @@
                   std::max(toMillis(Wait), Millis(1)), Now, Out);
     return;
   }
-  if (m.Spare) {
+  if (m.SpareOnly) {
     handleSpareRequest(Agent, Link, m, Now, Out);
     return;
   }
@@ -222,18 +222,18 @@
   const Duration MayWait = maxUsefulWait(Agent, m);
   const AdmissionAnswer Admitted =
       askToRun(Agent.Gate, admissionRequestOf(Agent, m, MayWait),
-               mayRead(Agent.Reading, Now));
+               maySendPrompt(Agent.Prefill, Now));
   if (Admitted.PushedOut)
     refuseSlot(Agent, *Admitted.PushedOut,
                {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
-  if (Admitted.May == Admitted::Refuse) {
+  if (Admitted.Decision == Admitted::Refuse) {
     refuseRequest(Agent, Link, m, ErrorKind::Overloaded, Admitted.RetryAfter,
                   Now, Out);
     return;
   }
   addSlot(Agent, Link, m, MayWait, Now);
-  if (Admitted.May == Admitted::Run)
-    grantSlot(Agent, m.Place, Now, Out);
+  if (Admitted.Decision == Admitted::Run)
+    grantSlot(Agent, m.SlotId, Now, Out);
 }
 
 void grantSpareSlots(AgentState &Agent, TimePoint Now, Effects &Out) {
@@ -253,11 +253,11 @@
                        Effects &Out) {
   const Slot &One = Agent.SlotsById.at(Which);
   // WaitUntil already allows for its own prompt, but not for those before it.
-  if (Now + readingLeft(Agent.Reading, Now) <= One.WaitUntil) {
+  if (Now + readingLeft(Agent.Prefill, Now) <= One.WaitUntil) {
     grantSlot(Agent, Which, Now, Out);
     return;
   }
-  runEnded(Agent.Gate, Which, RunEnd::NotBegun, {});
+  runEnded(Agent.Gate, Which, RunEnd::NotStarted, {});
   refuseSlot(Agent, Which,
              {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
 }
@@ -268,8 +268,8 @@
   One.Granted = true;
   One.GrantedAt = Now;
   countBackEndRequest(Agent, Now);
-  addReading(Agent.Reading, One.RequestMessage.PromptTokens, Now);
-  One.ReadingAtGrant = readingLeft(Agent.Reading, Now);
+  addReading(Agent.Prefill, One.RequestMessage.PromptTokens, Now);
+  One.ReadingAtGrant = readingLeft(Agent.Prefill, Now);
   ++Agent.Counters.Started;
   sendSlotAnswer(Agent, One.Link, One.RequestMessage, nullptr,
                  Now - One.RequestedAt, Now, Out);
@@ -290,13 +290,13 @@
 
 void handleSlotRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
                        Effects &Out) {
-  const auto it = Agent.SlotsById.find(m.Place);
+  const auto it = Agent.SlotsById.find(m.SlotId);
   if (it == Agent.SlotsById.end())
     return;
   const Slot One = it->second;
   Agent.SlotsById.erase(it);
   if (!One.Granted) {
-    dequeueSlot(Agent, m.Place);
+    dequeueSlot(Agent, m.SlotId);
     return;
   }
   if (m.FirstPartMillis > 0)
@@ -307,10 +307,10 @@
     if (Now < Agent.ColdUntil)
       uncountRequest(Agent.ColdStartRate);
   }
-  const RunEnd Incomplete = m.Sent ? RunEnd::CutOff : RunEnd::NotBegun;
-  runEnded(Agent.Gate, m.Place, m.Whole ? RunEnd::Whole : Incomplete,
+  const RunEnd Incomplete = m.Sent ? RunEnd::Abandoned : RunEnd::NotStarted;
+  runEnded(Agent.Gate, m.SlotId, m.IsComplete ? RunEnd::Complete : Incomplete,
            Now - One.GrantedAt);
-  Agent.Counters.Completed += m.Whole ? 1 : 0;
+  Agent.Counters.Completed += m.IsComplete ? 1 : 0;
   startWaitingWork(Agent, Now, Out);
   grantSpareSlots(Agent, Now, Out);
 }
@@ -335,7 +335,7 @@
                   Out);
     return;
   }
-  const auto it = Agent.SlotsById.find(m.Place);
+  const auto it = Agent.SlotsById.find(m.SlotId);
   if (it != Agent.SlotsById.end() && it->second.Granted)
     logRateChange(Agent, rateNotNamed(Agent.Rate, it->second.GrantedAt),
                   "entry", Out);
--- a/packages/core/src/base/json_reader.cpp
+++ b/packages/core/src/base/json_reader.cpp
@@ -87,7 +87,7 @@
   Lines.push_back(Path + ": found " + Found + ", allowed: " + Allowed);
 }
 
-std::string FaultList::text() const {
+std::string FaultList::joinErrors() const {
   std::string All;
   for (const std::string &Line : Lines)
     All += (All.empty() ? "" : "\n") + Line;
@@ -137,13 +137,13 @@
     Errors->add(Path.empty() ? "document" : Path, excerpt(Value), "an object");
 }
 
-std::string ObjectReader::pathOf(std::string_view Key) const {
+std::string ObjectReader::memberPath(std::string_view Key) const {
   return Path.empty() ? std::string(Key) : Path + "." + std::string(Key);
 }
 
-void ObjectReader::fault(const char *Key, const std::string &Found,
+void ObjectReader::addError(const char *Key, const std::string &Found,
                          const std::string &Allowed) {
-  Errors->add(pathOf(Key), Found, Allowed);
+  Errors->add(memberPath(Key), Found, Allowed);
 }
 
 const Json *ObjectReader::lookUpMember(const char *Key, bool Required,
@@ -155,11 +155,11 @@
   if (it != Object->end())
     return &*it;
   if (Required)
-    fault(Key, "nothing", Allowed);
+    addError(Key, "nothing", Allowed);
   return nullptr;
 }
 
-std::string ObjectReader::text(const char *Key, bool Required,
+std::string ObjectReader::readText(const char *Key, bool Required,
                                const std::string &Default) {
   const Json *Value = lookUpMember(Key, Required, "a text");
   if (Value == nullptr)
@@ -168,32 +168,32 @@
       !(Required && Value->get_ref<const std::string &>().empty()) &&
       isSafeText(Value->get_ref<const std::string &>()))
     return Value->get<std::string>();
-  fault(Key, excerpt(*Value),
+  addError(Key, excerpt(*Value),
         std::string(Required ? "a text that is not empty" : "a text") +
             ", of at most " + std::to_string(MaxTextBytes) +
             " bytes without control characters");
   return Default;
 }
 
-std::string ObjectReader::digest(const char *Key) {
+std::string ObjectReader::readDigest(const char *Key) {
   const Json *Value =
       lookUpMember(Key, true, "a SHA-256 digest in lower-case hex");
   if (Value == nullptr)
     return "";
   if (Value->is_string() && isDigest(Value->get_ref<const std::string &>()))
     return Value->get<std::string>();
-  fault(Key, "something else", "a SHA-256 digest in lower-case hex");
+  addError(Key, "something else", "a SHA-256 digest in lower-case hex");
   return "";
 }
 
-std::string ObjectReader::address(const char *Key) {
-  std::string Text = text(Key, true);
+std::string ObjectReader::readAddress(const char *Key) {
+  std::string Text = readText(Key, true);
   if (!Text.empty() && !isAddress(Text, false))
-    fault(Key, "\"" + Text + "\"", "IP:port with an IPv4 number");
+    addError(Key, "\"" + Text + "\"", "IP:port with an IPv4 number");
   return Text;
 }
 
-int64_t ObjectReader::number(const char *Key, bool Required, int64_t Default,
+int64_t ObjectReader::readInteger(const char *Key, bool Required, int64_t Default,
                              int64_t Min, int64_t Max) {
   const std::string Allowed = "a whole number from " + std::to_string(Min) +
                               " to " + std::to_string(Max);
@@ -206,11 +206,11 @@
         Value->get<uint64_t>() > static_cast<uint64_t>(INT64_MAX));
   if (Fits && Value->get<int64_t>() >= Min && Value->get<int64_t>() <= Max)
     return Value->get<int64_t>();
-  fault(Key, excerpt(*Value), Allowed);
+  addError(Key, excerpt(*Value), Allowed);
   return Default;
 }
 
-double ObjectReader::real(const char *Key, double Default, double Min,
+double ObjectReader::readNumber(const char *Key, double Default, double Min,
                           double Max) {
   const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
@@ -218,40 +218,40 @@
   if (Value->is_number() && Value->get<double>() >= Min &&
       Value->get<double>() <= Max)
     return Value->get<double>();
-  fault(Key, excerpt(*Value),
+  addError(Key, excerpt(*Value),
         "a number from " + std::to_string(Min) + " to " + std::to_string(Max));
   return Default;
 }
 
-bool ObjectReader::flag(const char *Key, bool Default) {
+bool ObjectReader::readBool(const char *Key, bool Default) {
   const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
     return Default;
   if (Value->is_boolean())
     return Value->get<bool>();
-  fault(Key, excerpt(*Value), "true or false");
+  addError(Key, excerpt(*Value), "true or false");
   return Default;
 }
 
-const Json *ObjectReader::object(const char *Key) {
+const Json *ObjectReader::readMember(const char *Key) {
   return lookUpMember(Key, false, "");
 }
 
-bool ObjectReader::has(const char *Key) const {
+bool ObjectReader::hasMember(const char *Key) const {
   return Object != nullptr && Object->contains(Key);
 }
 
-std::vector<const Json *> ObjectReader::list(const char *Key, size_t Max) {
+std::vector<const Json *> ObjectReader::listElements(const char *Key, size_t Max) {
   std::vector<const Json *> Elements;
   const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
     return Elements;
   if (!Value->is_array()) {
-    fault(Key, excerpt(*Value), "a list");
+    addError(Key, excerpt(*Value), "a list");
     return Elements;
   }
   if (Value->size() > Max) {
-    fault(Key, std::to_string(Value->size()) + " elements",
+    addError(Key, std::to_string(Value->size()) + " elements",
           "at most " + std::to_string(Max));
     return Elements;
   }
@@ -261,26 +261,26 @@
   return Elements;
 }
 
-std::vector<std::string> ObjectReader::texts(const char *Key) {
+std::vector<std::string> ObjectReader::readTextList(const char *Key) {
   std::vector<std::string> Texts;
-  for (const Json *Element : list(Key)) {
+  for (const Json *Element : listElements(Key)) {
     if (Element->is_string() &&
         isSafeText(Element->get_ref<const std::string &>()))
       Texts.push_back(Element->get<std::string>());
     else
-      fault(Key, excerpt(*Element), "a list of plain texts");
+      addError(Key, excerpt(*Element), "a list of plain texts");
   }
   return Texts;
 }
 
-void ObjectReader::refuseUnknown() {
+void ObjectReader::rejectUnknownKeys() {
   if (Object == nullptr)
     return;
   for (const auto &Member : Object->items()) {
     if (std::ranges::find(Known, Member.key()) != Known.end())
       continue;
     const std::string Near = nearestName(Member.key(), Known);
-    fault(Member.key().c_str(), "an unknown key",
+    addError(Member.key().c_str(), "an unknown key",
           Near.empty() ? "no such key" : "did you mean \"" + Near + "\"?");
   }
 }
--- a/packages/core/src/base/json_reader.h
+++ b/packages/core/src/base/json_reader.h
@@ -38,7 +38,7 @@
    * Joins the errors to one text.
    * @return One line for each error.
    */
-  std::string text() const;
+  std::string joinErrors() const;
 };
 
 /**
@@ -84,7 +84,7 @@
    * @param Default Value if absent.
    * @return The text.
    */
-  std::string text(const char *Key, bool Required,
+  std::string readText(const char *Key, bool Required,
                    const std::string &Default = "");
 
   /**
@@ -93,14 +93,14 @@
    * @param Key Name of the member; absence is an error.
    * @return The digest in lower-case hex; empty on error.
    */
-  std::string digest(const char *Key);
+  std::string readDigest(const char *Key);
 
   /**
    * Reads "IP:port" with a port above 0.
    * @param Key Name of the member; absence is an error.
    * @return The address; on error the text as given, or empty if it is no text.
    */
-  std::string address(const char *Key);
+  std::string readAddress(const char *Key);
 
   /**
    * Reads an integer.
@@ -111,7 +111,7 @@
    * @param Max Largest value allowed.
    * @return The number.
    */
-  int64_t number(const char *Key, bool Required, int64_t Default, int64_t Min,
+  int64_t readInteger(const char *Key, bool Required, int64_t Default, int64_t Min,
                  int64_t Max);
 
   /**
@@ -122,7 +122,7 @@
    * @param Max Largest value allowed.
    * @return The number.
    */
-  double real(const char *Key, double Default, double Min, double Max);
+  double readNumber(const char *Key, double Default, double Min, double Max);
 
   /**
    * Reads a boolean.
@@ -130,14 +130,14 @@
    * @param Default Value if absent.
    * @return The value.
    */
-  bool flag(const char *Key, bool Default);
+  bool readBool(const char *Key, bool Default);
 
   /**
    * Reads a list of texts.
    * @param Key Name of the member; absent means empty.
    * @return The texts.
    */
-  std::vector<std::string> texts(const char *Key);
+  std::vector<std::string> readTextList(const char *Key);
 
   /**
    * Returns the elements of a list.
@@ -145,7 +145,7 @@
    * @param Max Longest list allowed.
    * @return The elements, pointers into the JSON value.
    */
-  std::vector<const nlohmann::json *> list(const char *Key,
+  std::vector<const nlohmann::json *> listElements(const char *Key,
                                            size_t Max = SIZE_MAX);
 
   /**
@@ -153,24 +153,24 @@
    * @param Key Name of the member.
    * @return Pointer into the JSON value; null if absent.
    */
-  const nlohmann::json *object(const char *Key);
+  const nlohmann::json *readMember(const char *Key);
 
   /**
    * Checks whether a member exists, with any value.
    * @param Key Name of the member.
    * @return True if it exists.
    */
-  bool has(const char *Key) const;
+  bool hasMember(const char *Key) const;
 
   /**
    * Returns the error list, for readers of nested objects.
    * @return The error list.
    */
-  FaultList &faults() { return *Errors; }
+  FaultList &errorList() { return *Errors; }
 
   /** Adds an error for each member that has not been read, with the most
    * similar known name. */
-  void refuseUnknown();
+  void rejectUnknownKeys();
 
   /**
    * Adds an error for a member.
@@ -178,7 +178,7 @@
    * @param Found Description of the invalid value.
    * @param Allowed Description of the allowed values.
    */
-  void fault(const char *Key, const std::string &Found,
+  void addError(const char *Key, const std::string &Found,
              const std::string &Allowed);
 
   /**
@@ -186,7 +186,7 @@
    * @param Key Name of the member.
    * @return Path from the root, such as "workers[2].agent".
    */
-  std::string pathOf(std::string_view Key) const;
+  std::string memberPath(std::string_view Key) const;
 
 private:
   /** Looks up a member and marks its name as known; adds an error if it is
--- a/packages/core/src/configuration/config_spread.cpp
+++ b/packages/core/src/configuration/config_spread.cpp
@@ -96,7 +96,7 @@
                 const ConfigPull &Pull, Effects &Out) {
   ConfigPush Push;
   Push.Fresh = viewIsFresh(Fleet);
-  if (!Pull.Probe && versionInForce(View) > Pull.Have)
+  if (!Pull.Probe && versionInForce(View) > Pull.HeldVersion)
     Push.Text = View.InForce->Text;
   Out.push_back(SendMessage{Link, Push});
 }
--- a/packages/core/src/configuration/document.cpp
+++ b/packages/core/src/configuration/document.cpp
@@ -52,10 +52,10 @@
 std::vector<T> readList(ObjectReader &Root, const char *Key, size_t Max,
                         FaultList &Faults, Function &&ReadOne) {
   std::vector<T> All;
-  for (const Json *Element : Root.list(Key, Max)) {
+  for (const Json *Element : Root.listElements(Key, Max)) {
     ObjectReader Reader(*Element, elementPath(Key, All.size()), Faults);
     All.push_back(ReadOne(Reader));
-    Reader.refuseUnknown();
+    Reader.rejectUnknownKeys();
   }
   return All;
 }
@@ -64,11 +64,11 @@
 template <typename Enum, size_t Size>
 Enum readEnum(ObjectReader &Reader, const char *Key,
               const std::array<std::string_view, Size> &Names) {
-  const std::string Word = Reader.text(Key, true);
+  const std::string Word = Reader.readText(Key, true);
   const auto it = std::ranges::find(Names, Word);
   if (it != Names.end())
     return static_cast<Enum>(it - Names.begin());
-  Reader.fault(Key, "\"" + Word + "\"", "another word");
+  Reader.addError(Key, "\"" + Word + "\"", "another word");
   return static_cast<Enum>(0);
 }
 
@@ -84,67 +84,67 @@
 /** Reads a class of work; it has either a model or a service. */
 WorkClass readClass(ObjectReader &Reader) {
   WorkClass Class;
-  Class.Name.Value = Reader.text("name", true);
-  Class.Model.Value = Reader.text("model", false);
-  Class.Service.Value = Reader.text("service", false);
+  Class.Name.Value = Reader.readText("name", true);
+  Class.Model.Value = Reader.readText("model", false);
+  Class.Service.Value = Reader.readText("service", false);
   if (Class.Model.Value.empty() == Class.Service.Value.empty())
-    Reader.fault("model", "both or none of model and service", "one of them");
+    Reader.addError("model", "both or none of model and service", "one of them");
   Class.Kind =
       Class.Model.Value.empty() ? BackEndKind::Service : BackEndKind::Model;
-  Class.Repeatable = Reader.flag("repeatable", true);
+  Class.Repeatable = Reader.readBool("repeatable", true);
   if (!Class.Repeatable && Class.Kind == BackEndKind::Model)
-    Reader.fault("repeatable", "false", "true for a class with a model");
+    Reader.addError("repeatable", "false", "true for a class with a model");
   Class.Priority = static_cast<uint32_t>(
-      Reader.number("priority", false, 1, 1, MaxPriority));
-  Class.FirstToken = Millis(Reader.number(
+      Reader.readInteger("priority", false, 1, 1, MaxPriority));
+  Class.FirstToken = Millis(Reader.readInteger(
       "first_token_ms", false, Class.FirstToken.count(), 1, MaxMillis));
-  Class.BetweenTokens = Millis(Reader.number(
+  Class.BetweenTokens = Millis(Reader.readInteger(
       "between_tokens_ms", false, Class.BetweenTokens.count(), 1, MaxMillis));
-  Class.Deadline = Millis(Reader.number("deadline_ms", false,
+  Class.Deadline = Millis(Reader.readInteger("deadline_ms", false,
                                         Class.Deadline.count(), 1, MaxMillis));
-  Class.ServingShare = Reader.real("serving_share", Class.ServingShare, 0, 1);
+  Class.ServingShare = Reader.readNumber("serving_share", Class.ServingShare, 0, 1);
   return Class;
 }
 
 /** Reads a workspace. */
 Tenant readTenant(ObjectReader &Reader) {
   Tenant Parsed;
-  Parsed.Name.Value = Reader.text("name", true);
+  Parsed.Name.Value = Reader.readText("name", true);
   Parsed.Weight =
-      static_cast<uint32_t>(Reader.number("weight", false, 1, 1, MaxWeight));
-  Parsed.Keys = Reader.texts("keys");
+      static_cast<uint32_t>(Reader.readInteger("weight", false, 1, 1, MaxWeight));
+  Parsed.Keys = Reader.readTextList("keys");
   constexpr int64_t NoRank = -1;
   const int64_t Rank =
-      Reader.number("rank", false, NoRank, NoRank, MaxPriority);
+      Reader.readInteger("rank", false, NoRank, NoRank, MaxPriority);
   if (Rank != NoRank)
     Parsed.Rank = static_cast<uint32_t>(Rank);
-  Parsed.Regions = toIdSet<RegionName>(Reader.texts("regions"));
+  Parsed.Regions = toIdSet<RegionName>(Reader.readTextList("regions"));
   return Parsed;
 }
 
 /** Reads the wanted version of a model, with its chunk list or origin. */
 ModelVersion readModel(ObjectReader &Reader) {
   ModelVersion Model;
-  Model.Name.Value = Reader.text("name", true);
-  Model.Version = Reader.text("version", true);
-  if (Reader.has("origin")) {
-    Model.Origin.Value = Reader.address("origin");
+  Model.Name.Value = Reader.readText("name", true);
+  Model.Version = Reader.readText("version", true);
+  if (Reader.hasMember("origin")) {
+    Model.Origin.Value = Reader.readAddress("origin");
     Model.Set = publishedSet(Model.Name, Model.Version);
     return Model;
   }
   Model.ChunkBytes = static_cast<uint64_t>(
-      Reader.number("chunk_bytes", true, 1, 1, MaxChunkBytes));
+      Reader.readInteger("chunk_bytes", true, 1, 1, MaxChunkBytes));
   Model.TotalBytes = static_cast<uint64_t>(
-      Reader.number("total_bytes", true, 1, 1, MaxTotalBytes));
-  for (const std::string &Text : Reader.texts("chunks")) {
+      Reader.readInteger("total_bytes", true, 1, 1, MaxTotalBytes));
+  for (const std::string &Text : Reader.readTextList("chunks")) {
     if (!isDigest(Text))
-      Reader.fault("chunks", Text, "SHA-256 digests in lower-case hex");
+      Reader.addError("chunks", Text, "SHA-256 digests in lower-case hex");
     Model.Chunks.push_back(Digest{Text});
   }
   const uint64_t Needed =
       (Model.TotalBytes + Model.ChunkBytes - 1) / Model.ChunkBytes;
   if (Model.Chunks.size() != Needed)
-    Reader.fault("chunks", std::to_string(Model.Chunks.size()) + " chunks",
+    Reader.addError("chunks", std::to_string(Model.Chunks.size()) + " chunks",
                  std::to_string(Needed) + " for this size");
   Model.Set = weightsSetDigest(Model.Chunks);
   return Model;
@@ -153,101 +153,101 @@
 /** Reads a worker; it runs either a model or a service. */
 Worker readWorker(ObjectReader &Reader) {
   Worker Host;
-  Host.Name.Value = Reader.text("name", true);
-  Host.Domain.Value = Reader.text("domain", true);
-  Host.Agent.Value = Reader.address("agent");
-  Host.Model.Value = Reader.text("model", false);
-  Host.Service.Value = Reader.text("service", false);
+  Host.Name.Value = Reader.readText("name", true);
+  Host.Domain.Value = Reader.readText("domain", true);
+  Host.Agent.Value = Reader.readAddress("agent");
+  Host.Model.Value = Reader.readText("model", false);
+  Host.Service.Value = Reader.readText("service", false);
   if (Host.Model.Value.empty() == Host.Service.Value.empty())
-    Reader.fault("model", "both or none of model and service", "one of them");
+    Reader.addError("model", "both or none of model and service", "one of them");
   return Host;
 }
 
 /** Reads an entry host. */
 EntryHost readEntry(ObjectReader &Reader) {
   EntryHost Host;
-  Host.Name.Value = Reader.text("name", true);
-  Host.Domain.Value = Reader.text("domain", true);
-  Host.Callers.Value = Reader.address("callers");
-  Host.Peers.Value = Reader.address("peers");
+  Host.Name.Value = Reader.readText("name", true);
+  Host.Domain.Value = Reader.readText("domain", true);
+  Host.Callers.Value = Reader.readAddress("callers");
+  Host.Peers.Value = Reader.readAddress("peers");
   return Host;
 }
 
 /** Reads a route and its targets. */
 Route readRoute(ObjectReader &Reader) {
   Route One;
-  One.Name = Reader.text("name", true);
-  One.Host = Reader.text("host", true);
-  One.Prefix = Reader.text("prefix", true);
+  One.Name = Reader.readText("name", true);
+  One.Host = Reader.readText("host", true);
+  One.Prefix = Reader.readText("prefix", true);
   if (!One.Prefix.starts_with('/') || !One.Prefix.ends_with('/'))
-    Reader.fault("prefix", "\"" + One.Prefix + "\"",
+    Reader.addError("prefix", "\"" + One.Prefix + "\"",
                  "a path that begins and ends with a slash");
   One.Kind = readEnum<RouteKind>(Reader, "kind", RouteKindNames);
-  One.Resumable = Reader.flag("resumable", false);
-  One.Anonymous = Reader.flag("anonymous", false);
+  One.Resumable = Reader.readBool("resumable", false);
+  One.Anonymous = Reader.readBool("anonymous", false);
   One.MaxAttempts = static_cast<uint32_t>(
-      Reader.number("max_attempts", false, 1, 1, MaxAttemptsAllowed));
-  One.Timeout = Millis(Reader.number("timeout_ms", true, 0, 1, MaxMillis));
-  One.Target = Millis(Reader.number("target_ms", false, 0, 0, MaxMillis));
+      Reader.readInteger("max_attempts", false, 1, 1, MaxAttemptsAllowed));
+  One.Timeout = Millis(Reader.readInteger("timeout_ms", true, 0, 1, MaxMillis));
+  One.Target = Millis(Reader.readInteger("target_ms", false, 0, 0, MaxMillis));
   One.GapTarget =
-      Millis(Reader.number("gap_target_ms", false, 0, 0, MaxMillis));
+      Millis(Reader.readInteger("gap_target_ms", false, 0, 0, MaxMillis));
   One.LongestSilence =
-      Millis(Reader.number("longest_silence_ms", false, 0, 0, MaxMillis));
+      Millis(Reader.readInteger("longest_silence_ms", false, 0, 0, MaxMillis));
   One.Rank =
-      static_cast<uint32_t>(Reader.number("rank", false, 0, 0, MaxPriority));
-  One.Regions = toIdSet<RegionName>(Reader.texts("regions"));
-  for (const Json *Part : Reader.list("targets", MaxTargets)) {
-    ObjectReader Row(*Part, Reader.pathOf("targets"), Reader.faults());
+      static_cast<uint32_t>(Reader.readInteger("rank", false, 0, 0, MaxPriority));
+  One.Regions = toIdSet<RegionName>(Reader.readTextList("regions"));
+  for (const Json *Part : Reader.listElements("targets", MaxTargets)) {
+    ObjectReader Row(*Part, Reader.memberPath("targets"), Reader.errorList());
     RouteTarget Target;
-    Target.Service.Value = Row.text("service", true);
+    Target.Service.Value = Row.readText("service", true);
     Target.Weight = static_cast<uint32_t>(
-        Row.number("weight", false, 1, 0, MaxRouteWeight));
-    Row.refuseUnknown();
+        Row.readInteger("weight", false, 1, 0, MaxRouteWeight));
+    Row.rejectUnknownKeys();
     One.Targets.push_back(Target);
   }
   if (One.Targets.empty())
-    Reader.fault("targets", "none", "at least one service");
+    Reader.addError("targets", "none", "at least one service");
   return One;
 }
 
 /** Reads a service that routes lead to. */
 Service readService(ObjectReader &Reader) {
   Service One;
-  One.Name.Value = Reader.text("name", true);
-  One.Model.Value = Reader.text("model", false);
+  One.Name.Value = Reader.readText("name", true);
+  One.Model.Value = Reader.readText("model", false);
   One.MaxConnections = static_cast<uint32_t>(
-      Reader.number("max_connections", false, 0, 0, MaxConnectionsAllowed));
-  One.ReadPerSecond = Reader.real("read_tokens_per_second", 0, 0, MaxTokenRate);
+      Reader.readInteger("max_connections", false, 0, 0, MaxConnectionsAllowed));
+  One.ReadPerSecond = Reader.readNumber("read_tokens_per_second", 0, 0, MaxTokenRate);
   One.ColdPerSecond =
-      Reader.real("cold_per_second", 0, 0, MaxConnectionsAllowed);
+      Reader.readNumber("cold_per_second", 0, 0, MaxConnectionsAllowed);
   return One;
 }
 
 /** Reads a backend server of a service. */
 BackEndServer readServer(ObjectReader &Reader) {
   BackEndServer One;
-  One.Id.Value = Reader.text("id", true);
-  One.Service.Value = Reader.text("service", true);
-  One.At.Value = Reader.address("at");
-  One.Domain.Value = Reader.text("domain", true);
+  One.Id.Value = Reader.readText("id", true);
+  One.Service.Value = Reader.readText("service", true);
+  One.At.Value = Reader.readAddress("at");
+  One.Domain.Value = Reader.readText("domain", true);
   One.Slots = static_cast<uint32_t>(
-      Reader.number("slots", false, 1, 0, MaxConnectionsAllowed));
-  One.Draining = Reader.flag("draining", false);
-  One.ColdFor = Millis(Reader.number("cold_ms", false, 0, 0, MaxMillis));
-  One.Weights.Value = Reader.text("weights", false);
+      Reader.readInteger("slots", false, 1, 0, MaxConnectionsAllowed));
+  One.Draining = Reader.readBool("draining", false);
+  One.ColdFor = Millis(Reader.readInteger("cold_ms", false, 0, 0, MaxMillis));
+  One.Weights.Value = Reader.readText("weights", false);
   return One;
 }
 
 /** Reads the bounds on what callers send. */
 CallerLimits readLimits(ObjectReader &Reader) {
   CallerLimits One;
-  One.MaxHeadBytes = static_cast<uint32_t>(Reader.number(
+  One.MaxHeadBytes = static_cast<uint32_t>(Reader.readInteger(
       "max_head_bytes", false, One.MaxHeadBytes, 256, MaxChunkBytes));
-  One.MaxBodyBytes = static_cast<uint32_t>(Reader.number(
+  One.MaxBodyBytes = static_cast<uint32_t>(Reader.readInteger(
       "max_body_bytes", false, One.MaxBodyBytes, 0, int64_t{1} << 30));
-  One.HeadTimeout = Millis(Reader.number(
+  One.HeadTimeout = Millis(Reader.readInteger(
       "head_timeout_ms", false, One.HeadTimeout.count(), 1, MaxMillis));
-  One.IdleTimeout = Millis(Reader.number(
+  One.IdleTimeout = Millis(Reader.readInteger(
       "idle_timeout_ms", false, One.IdleTimeout.count(), 1, MaxMillis));
   return One;
 }
@@ -255,11 +255,11 @@
 /** Reads the region of each failure domain. */
 std::map<DomainName, RegionName> readRegions(ObjectReader &Root) {
   std::map<DomainName, RegionName> RegionOf;
-  for (const Json *Element : Root.list("domains", MaxDomains)) {
-    ObjectReader Row(*Element, "domains", Root.faults());
-    const DomainName Domain{Row.text("name", true)};
-    RegionOf[Domain] = RegionName{Row.text("region", true)};
-    Row.refuseUnknown();
+  for (const Json *Element : Root.listElements("domains", MaxDomains)) {
+    ObjectReader Row(*Element, "domains", Root.errorList());
+    const DomainName Domain{Row.readText("name", true)};
+    RegionOf[Domain] = RegionName{Row.readText("region", true)};
+    Row.rejectUnknownKeys();
   }
   return RegionOf;
 }
@@ -267,11 +267,11 @@
 /** Reads a team of the administration API. */
 Team readTeam(ObjectReader &Reader) {
   Team One;
-  One.Name = Reader.text("name", true);
-  One.TokenDigest.Value = Reader.digest("token_sha256");
-  One.Operator = Reader.flag("operator", false);
-  One.Classes = toIdSet<ClassName>(Reader.texts("classes"));
-  One.Tenants = toIdSet<TenantName>(Reader.texts("tenants"));
+  One.Name = Reader.readText("name", true);
+  One.TokenDigest.Value = Reader.readDigest("token_sha256");
+  One.Operator = Reader.readBool("operator", false);
+  One.Classes = toIdSet<ClassName>(Reader.readTextList("classes"));
+  One.Tenants = toIdSet<TenantName>(Reader.readTextList("tenants"));
   return One;
 }
 
@@ -326,7 +326,7 @@
   Document Doc;
   ObjectReader Root(Value, "", Faults);
   Doc.Version.Value = static_cast<uint64_t>(
-      Root.number("version", true, 1, 1, std::numeric_limits<int64_t>::max()));
+      Root.readInteger("version", true, 1, 1, std::numeric_limits<int64_t>::max()));
   Doc.Classes =
       readList<WorkClass>(Root, "classes", MaxClasses, Faults, readClass);
   Doc.Tenants =
@@ -337,22 +337,22 @@
       readList<Worker>(Root, "workers", MaxWorkers, Faults, readWorker);
   Doc.Entries =
       readList<EntryHost>(Root, "entries", MaxEntries, Faults, readEntry);
-  Doc.DomainsOut = toIdSet<DomainName>(Root.texts("domains_out"));
+  Doc.DomainsOut = toIdSet<DomainName>(Root.readTextList("domains_out"));
   Doc.Teams = readList<Team>(Root, "teams", MaxTeams, Faults, readTeam);
   Doc.Routes = readList<Route>(Root, "routes", MaxRoutes, Faults, readRoute);
   Doc.Services =
       readList<Service>(Root, "services", MaxServices, Faults, readService);
   Doc.Servers =
       readList<BackEndServer>(Root, "servers", MaxWorkers, Faults, readServer);
-  if (const Json *Limits = Root.object("limits")) {
+  if (const Json *Limits = Root.readMember("limits")) {
     ObjectReader Row(*Limits, "limits", Faults);
     Doc.Limits = readLimits(Row);
-    Row.refuseUnknown();
+    Row.rejectUnknownKeys();
   }
   Doc.RegionOf = readRegions(Root);
-  Doc.RetryHorizon = Millis(Root.number(
+  Doc.RetryHorizon = Millis(Root.readInteger(
       "retry_horizon_ms", false, Doc.RetryHorizon.count(), 100, MaxMillis));
-  Root.refuseUnknown();
+  Root.rejectUnknownKeys();
   checkAllNamesUnique(Doc, Faults);
   checkReferences(Doc, Faults);
   return Doc;
@@ -381,7 +381,7 @@
   FaultList Faults;
   Document Doc = readDocument(Value, Faults);
   if (!Faults.Lines.empty())
-    return fail(ErrorKind::InvalidDocument, Faults.text());
+    return fail(ErrorKind::InvalidDocument, Faults.joinErrors());
   Doc.Text = std::string(Text);
   Doc.ContentDigest = sha256(Text);
   return std::make_shared<const Document>(std::move(Doc));
--- a/packages/core/src/forwarding/rate_share.cpp
+++ b/packages/core/src/forwarding/rate_share.cpp
@@ -68,7 +68,7 @@
  */
 bool mayProbe(const ServerPool &Pool, const ServerView &View, TimePoint Now) {
   const int64_t Rank = 1 + int64_t{entriesBefore(Pool, View)};
-  return Now - View.Rate.NamedAt >= ProbeAfter * Rank;
+  return Now - View.Rate.LimitSeenAt >= ProbeAfter * Rank;
 }
 
 /** Says whether the rate limit that a back end sets for itself allows a
@@ -123,7 +123,7 @@
     countRequest(View->ColdLimit);
   countRequest(View->Rate);
   if (View->Rate.PerSecond && mayProbe(Pool, *View, Now))
-    View->Rate.NamedAt = Now;
+    View->Rate.LimitSeenAt = Now;
 }
 
 RateChange rateHeard(ServerPool &Pool, const InstanceId &Id,
@@ -136,7 +136,7 @@
                    : rateNotNamed(View->Rate, SentAt);
 }
 
-RateChange rateTold(ServerPool &Pool, const RateHeard &Notice, TimePoint Now) {
+RateChange recordPeerRate(ServerPool &Pool, const RateHeard &Notice, TimePoint Now) {
   ServerView *View = findServer(Pool, Notice.Server);
   if (View == nullptr)
     return RateChange::None;
@@ -155,7 +155,7 @@
 std::optional<RateHeard> rateToTell(const ServerView &View, TimePoint Now) {
   if (!View.Rate.PerSecond || !hasAgent(View) || View.Agent->PerSecond)
     return std::nullopt;
-  const Millis Age = toMillis(Now - View.Rate.NamedAt);
+  const Millis Age = toMillis(Now - View.Rate.LimitSeenAt);
   return RateHeard{{},
                    View.Listed.Id,
                    View.Rate.PerSecond,
--- a/packages/core/src/forwarding/rate_share_func.h
+++ b/packages/core/src/forwarding/rate_share_func.h
@@ -64,7 +64,7 @@
  * @param Now Current time.
  * @return How the known limit changed; a change must be passed on.
  */
-RateChange rateTold(ServerPool &Pool, const RateHeard &Notice, TimePoint Now);
+RateChange recordPeerRate(ServerPool &Pool, const RateHeard &Notice, TimePoint Now);
 
 /**
  * Records that an agent refused a slot because of its back end's rate limit.
--- a/packages/core/src/forwarding/server_listing.cpp
+++ b/packages/core/src/forwarding/server_listing.cpp
@@ -30,14 +30,14 @@
     if (New || (View.Listed.Weights != One.Weights && !hasAgent(View)))
       View.Weights = One.Weights;
     View.Listed = One;
-    View.Vanished.reset();
+    View.UnlistedSince.reset();
   }
   for (auto &[Id, View] : Pool.Servers)
-    if (!Listed.contains(Id) && !View.Vanished)
-      View.Vanished = Now;
+    if (!Listed.contains(Id) && !View.UnlistedSince)
+      View.UnlistedSince = Now;
   std::erase_if(Pool.Servers, [&](const auto &Row) {
     const ServerView &View = Row.second;
-    return View.Vanished && View.Open == 0 && Now >= Pool.KeepUnlistedUntil;
+    return View.UnlistedSince && View.Open == 0 && Now >= Pool.KeepUnlistedUntil;
   });
 }
 
--- a/packages/core/src/forwarding/server_pool.cpp
+++ b/packages/core/src/forwarding/server_pool.cpp
@@ -94,7 +94,7 @@
 /** Records the total number of requests that a back end reported. */
 void recordReportedRequests(ServerView &View, uint32_t Busy, TimePoint Now) {
   View.OtherWork = Busy > View.Open ? Busy - View.Open : 0;
-  View.ToldAt = Now;
+  View.LoadReportedAt = Now;
 }
 
 /** Updates the moving average of a service's answer time. */
@@ -111,7 +111,7 @@
   // once would never be used again.
   if (hasAgent(View))
     return View.Open + View.OtherWork;
-  const double Age = static_cast<double>(toMillis(Now - View.ToldAt).count()) /
+  const double Age = static_cast<double>(toMillis(Now - View.LoadReportedAt).count()) /
                      static_cast<double>(LoadHalfLife.count());
   return View.Open + View.OtherWork * std::exp2(-std::max(0.0, Age));
 }
@@ -200,9 +200,9 @@
       Needs.Full.contains(View.Listed.Id) ||
       Doc.DomainsOut.contains(View.Listed.Domain))
     return false;
-  if (View.Vanished && Now >= Pool.KeepUnlistedUntil)
+  if (View.UnlistedSince && Now >= Pool.KeepUnlistedUntil)
     return false;
-  if (!isRegionAllowed(Needs.From->Regions, Doc, View.Listed.Domain) ||
+  if (!isRegionAllowed(Needs.MatchedRoute->Regions, Doc, View.Listed.Domain) ||
       (Needs.Owner != nullptr &&
        !isRegionAllowed(Needs.Owner->Regions, Doc, View.Listed.Domain)))
     return false;
@@ -221,7 +221,7 @@
 double loadScore(ServerPool &Pool, const ServerView &View, TimePoint Now) {
   double Score = estimatedRequests(View, Now) + randomFraction(Pool);
   const Duration Backlog =
-      std::max(View.PrefillBacklog - (Now - View.ToldAt), Duration{0});
+      std::max(View.PrefillBacklog - (Now - View.LoadReportedAt), Duration{0});
   Score += static_cast<double>(toMillis(Backlog).count()) /
            static_cast<double>(PrefillPerRequest.count());
   if (View.Listed.Domain != Pool.Options.Domain)
@@ -256,7 +256,7 @@
 
 void agentTold(ServerPool &Pool, const AgentNews &Report, TimePoint Now) {
   for (auto &[Id, View] : Pool.Servers) {
-    if (View.Listed.At != Report.Server || View.Vanished)
+    if (View.Listed.At != Report.Server || View.UnlistedSince)
       continue;
     if (!Report.Fresh && hasAgent(View))
       View.SilentSince = Now;
@@ -300,7 +300,7 @@
     // Where there is an agent, it decides whether there is room.
     const bool Full =
         (!hasAgent(View) && estimatedRequests(View, Now) + 1 >
-                                requestCapacity(Pool, View, *Needs.From)) ||
+                                requestCapacity(Pool, View, *Needs.MatchedRoute)) ||
         (mayBePaused(View) && View.Open > 0);
     if (Full)
       continue;
@@ -430,7 +430,7 @@
     // It is full, whatever its last report said; its next answer reports its
     // load.
     View.OtherWork = std::max(View.OtherWork, View.Listed.Slots);
-    View.ToldAt = Now;
+    View.LoadReportedAt = Now;
     return;
   case AttemptEnd::Dropped:
   case AttemptEnd::NotSent:
--- a/packages/core/src/forwarding/server_pool_type.h
+++ b/packages/core/src/forwarding/server_pool_type.h
@@ -31,11 +31,11 @@
 /** State that this entry keeps of one back end. */
 struct ServerView {
   BackEndServer Listed;              ///< Its row in the document.
-  std::optional<TimePoint> Vanished; ///< When it left the list, if it has.
+  std::optional<TimePoint> UnlistedSince; ///< When it left the list, if it has.
   uint32_t Open = 0;                 ///< Open attempts of this entry there.
   uint32_t OtherWork = 0;     ///< Requests of other entries, as last reported.
   Duration PrefillBacklog{0}; ///< Prefill time queued there, as last reported.
-  TimePoint ToldAt;           ///< When its load was last reported.
+  TimePoint LoadReportedAt;           ///< When its load was last reported.
   std::optional<AgentNews> Agent; ///< Last report of its agent.
   TimePoint SilentSince;          ///< When the agent last stopped responding.
   Digest Weights;                 ///< Weights it has loaded, as last reported.
@@ -101,7 +101,7 @@
 /** What a request needs of a back end. */
 struct ServerNeeds {
   ServiceName Service;           ///< Service that it is for.
-  const Route *From = nullptr;   ///< Route that it matched.
+  const Route *MatchedRoute = nullptr;   ///< Route that it matched.
   const Tenant *Owner = nullptr; ///< Workspace that it belongs to; null: none.
   std::set<InstanceId> Tried;    ///< Back ends that were already tried.
   std::set<InstanceId> Full;     ///< Back ends that just reported no free slot.
--- a/packages/core/src/membership/join.cpp
+++ b/packages/core/src/membership/join.cpp
@@ -131,8 +131,8 @@
   Fleet.Self.Run = Run;
   Fleet.Self.Domain.Value = Config.Domain;
   if (!Config.RouteListen.empty()) {
-    Fleet.Self.At.Value = Config.PeerListen;
-    Fleet.Self.Callers.Value = Config.RouteListen;
+    Fleet.Self.LinkAddress.Value = Config.PeerListen;
+    Fleet.Self.CallerAddress.Value = Config.RouteListen;
   }
   Fleet.Times = {
       Millis(Config.HeartbeatMillis), Millis(Config.LinkSilenceMillis),
--- a/packages/core/src/membership/membership.cpp
+++ b/packages/core/src/membership/membership.cpp
@@ -183,7 +183,7 @@
   Beat.ConfigDigest = digestInForce(Config);
   Beat.Leaving = Fleet.Leaving;
   Beat.Fresh = Fleet.Joining.Fresh;
-  Beat.Service = Heard && Now - *Heard <= Fleet.Times.CutOff;
+  Beat.ReachesConfigService = Heard && Now - *Heard <= Fleet.Times.CutOff;
   Beat.Load = Fleet.Load;
   omitKnownDigests(Beat, To);
   Out.push_back(SendMessage{To.Link, Beat});
@@ -206,12 +206,12 @@
     Peer.ConfigDigest = Beat.ConfigDigest;
   Peer.Leaving = Beat.Leaving;
   Peer.Fresh = Beat.Fresh;
-  Peer.Service = Beat.Service;
+  Peer.Service = Beat.ReachesConfigService;
   Peer.Load = Beat.Load;
   Peer.Load.Weights = Weights;
   Peer.HeartbeatWeights = Weights;
   Peer.LoadAt = Now;
-  Peer.SentSince = 0;
+  Peer.AttemptsSinceLoad = 0;
 }
 
 void sendHeartbeats(Membership &Fleet, const ConfigView &Config, TimePoint Now,
--- a/packages/core/src/membership/membership_type.h
+++ b/packages/core/src/membership/membership_type.h
@@ -56,7 +56,7 @@
   WorkerLoad Load;                   ///< Load as last reported.
   Digest HeartbeatWeights;           ///< Weights as of the last heartbeat.
   TimePoint LoadAt;                  ///< When Load was reported.
-  uint32_t SentSince = 0; ///< Attempts sent to the peer since LoadAt.
+  uint32_t AttemptsSinceLoad = 0; ///< Attempts sent to the peer since LoadAt.
   TimePoint AvoidUntil;   ///< It lacked capacity and gets no work until then.
 };
 
--- a/packages/core/src/membership/roster.cpp
+++ b/packages/core/src/membership/roster.cpp
@@ -22,7 +22,7 @@
 
 /** Gives the entry that a hello describes. */
 EntryHost entryHostOf(const Hello &Self) {
-  return {Self.Name, Self.Domain, Self.Callers, Self.At};
+  return {Self.Name, Self.Domain, Self.CallerAddress, Self.LinkAddress};
 }
 
 /** Tells all ready peers, but the entry itself, of an entry. */
@@ -48,7 +48,7 @@
   for (const auto &[Name, Known] : Fleet.Roster)
     if (Name != Peer.Name)
       Out.push_back(SendMessage{Link, entrySeenMessage(Known.Host)});
-  if (Peer.Sender != Role::Entry || Peer.At.Value.empty() ||
+  if (Peer.Sender != Role::Entry || Peer.LinkAddress.Value.empty() ||
       Peer.Name == Fleet.Self.Name)
     return false;
   const EntryHost Host = entryHostOf(Peer);
@@ -66,7 +66,7 @@
   // For a known entry its own hello has precedence over what peers report.
   if (Seen.Name == Fleet.Self.Name || Fleet.Roster.contains(Seen.Name))
     return false;
-  const EntryHost Host{Seen.Name, Seen.Domain, Seen.Callers, Seen.At};
+  const EntryHost Host{Seen.Name, Seen.Domain, Seen.CallerAddress, Seen.LinkAddress};
   Fleet.Roster[Seen.Name] = {Host, Now};
   announceEntry(Fleet, Host, Out);
   return true;
@@ -90,7 +90,7 @@
   std::vector<EntryHost> All;
   std::ranges::transform(Fleet.Roster, std::back_inserter(All),
                          [](const auto &Row) { return Row.second.Host; });
-  if (Fleet.Self.Sender == Role::Entry && !Fleet.Self.At.Value.empty())
+  if (Fleet.Self.Sender == Role::Entry && !Fleet.Self.LinkAddress.Value.empty())
     All.push_back(entryHostOf(Fleet.Self));
   std::ranges::sort(All, {}, &EntryHost::Name);
   return All;
--- a/packages/core/src/routing/directory.cpp
+++ b/packages/core/src/routing/directory.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-std::vector<Address> directoryAnswer(const std::vector<EntryHost> &Alive,
+std::vector<Address> directoryAddresses(const std::vector<EntryHost> &Alive,
                                      const Document *Doc,
                                      const DomainName &Domain,
                                      const RegionName &Region) {
--- a/packages/core/src/routing/directory_func.h
+++ b/packages/core/src/routing/directory_func.h
@@ -21,7 +21,7 @@
  * @param Region Region of the caller; may be empty.
  * @return Addresses for callers, 64 at most; empty when no entry is alive.
  */
-std::vector<Address> directoryAnswer(const std::vector<EntryHost> &Alive,
+std::vector<Address> directoryAddresses(const std::vector<EntryHost> &Alive,
                                      const Document *Doc,
                                      const DomainName &Domain,
                                      const RegionName &Region);
--- a/packages/core/src/routing/load_view.cpp
+++ b/packages/core/src/routing/load_view.cpp
@@ -62,7 +62,7 @@
           Peer.Load.Waiting = 0;
           Peer.Load.Limit = Reported.Load.Limit;
           Peer.LoadAt = Now;
-          Peer.SentSince = 0;
+          Peer.AttemptsSinceLoad = 0;
         }
       },
       m);
@@ -74,7 +74,7 @@
 void countSentAttempt(Membership &Fleet, LinkId Link) {
   const auto it = Fleet.Links.find(Link);
   if (it != Fleet.Links.end())
-    ++it->second.SentSince;
+    ++it->second.AttemptsSinceLoad;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/routing/worker_choice.cpp
+++ b/packages/core/src/routing/worker_choice.cpp
@@ -89,7 +89,7 @@
       continue;
     const PeerLink *Link = readyLink(Entry.Fleet, Host->Name);
     const auto Open = Entry.OpenByWorker.find(Host->Name);
-    Found.push_back({Host->Name, Link->Link, Link->Load, Link->SentSince,
+    Found.push_back({Host->Name, Link->Link, Link->Load, Link->AttemptsSinceLoad,
                      Open == Entry.OpenByWorker.end() ? 0 : Open->second,
                      Host->Domain == Entry.Fleet.Self.Domain,
                      Entry.Fleet.LastTick < Link->AvoidUntil});
--- a/packages/core/src/settings/settings.cpp
+++ b/packages/core/src/settings/settings.cpp
@@ -50,11 +50,11 @@
   Settings &Into;          ///< Receives the value.
 
   void operator()(std::string Settings::*Field) const {
-    Into.*Field = Reader.text(Spec.Key, Spec.Required, Spec.Default);
+    Into.*Field = Reader.readText(Spec.Key, Spec.Required, Spec.Default);
     checkTextForm(Into.*Field);
   }
   void operator()(std::vector<std::string> Settings::*Field) const {
-    Into.*Field = Reader.texts(Spec.Key);
+    Into.*Field = Reader.readTextList(Spec.Key);
     std::ranges::for_each(Into.*Field, [this](const std::string &Element) {
       checkTextForm(Element);
     });
@@ -62,23 +62,23 @@
   void operator()(int64_t Settings::*Field) const {
     const int64_t Default = std::strtoll(Spec.Default, nullptr, 10);
     Into.*Field =
-        Reader.number(Spec.Key, Spec.Required, Default, Spec.Min, Spec.Max);
+        Reader.readInteger(Spec.Key, Spec.Required, Default, Spec.Min, Spec.Max);
   }
   void operator()(double Settings::*Field) const {
-    Into.*Field = Reader.real(Spec.Key, std::strtod(Spec.Default, nullptr),
+    Into.*Field = Reader.readNumber(Spec.Key, std::strtod(Spec.Default, nullptr),
                               static_cast<double>(Spec.Min),
                               static_cast<double>(Spec.Max));
   }
   void operator()(bool Settings::*Field) const {
     const bool Default = std::string_view(Spec.Default) == "true";
-    Into.*Field = Reader.flag(Spec.Key, Default);
+    Into.*Field = Reader.readBool(Spec.Key, Default);
   }
 
 private:
   /** Reports a text that lacks the required form. */
   void checkTextForm(const std::string &Text) const {
     if (!Text.empty() && !hasForm(Text, Spec.Form))
-      Reader.fault(Spec.Key, "\"" + Text + "\"",
+      Reader.addError(Spec.Key, "\"" + Text + "\"",
                    std::string(Spec.Unit) + " with an IPv4 number");
   }
 };
@@ -93,7 +93,7 @@
     // Settings that only the other program reads are 0.
     if (Lower == 0 && Upper == 0)
       continue;
-    Reader.fault(Rule.LowerKey, std::to_string(Lower),
+    Reader.addError(Rule.LowerKey, std::to_string(Lower),
                  std::string(Rule.MayEqual ? "at most " : "below ") +
                      Rule.UpperKey + " (" + std::to_string(Upper) + ")");
   }
@@ -139,28 +139,28 @@
   FaultList Errors;
   ObjectReader Reader(Value, "", Errors);
   for (const std::string &Key : Duplicates)
-    Reader.fault(Key.c_str(), "the key twice", "once, as only one would count");
+    Reader.addError(Key.c_str(), "the key twice", "once, as only one would count");
   for (const SettingSpec &Spec : SettingsTable)
     if (isReadBy(Spec, Program))
       std::visit(SettingReader{Reader, Spec, Read}, Spec.Field);
-  Reader.refuseUnknown();
+  Reader.rejectUnknownKeys();
   if (std::ranges::find(LogLevels, Read.LogLevel) == LogLevels.end())
-    Reader.fault("log_level", "\"" + Read.LogLevel + "\"",
+    Reader.addError("log_level", "\"" + Read.LogLevel + "\"",
                  "one of debug, info, warn, error");
   checkSettingOrders(Read, Reader);
   if (Read.LogTo != "stdout" && Read.LogTo != "stderr")
-    Reader.fault("log_to", "\"" + Read.LogTo + "\"", "stdout or stderr");
+    Reader.addError("log_to", "\"" + Read.LogTo + "\"", "stdout or stderr");
   if (std::ranges::find(PlatformNames, Read.Platform) == PlatformNames.end())
-    Reader.fault("platform", "\"" + Read.Platform + "\"", "own or store");
+    Reader.addError("platform", "\"" + Read.Platform + "\"", "own or store");
   if (Program == SettingOwner::Agent &&
       Read.EngineUrl.empty() == Read.ServiceUrl.empty())
-    Reader.fault("engine_url", "both or none of engine_url and service_url",
+    Reader.addError("engine_url", "both or none of engine_url and service_url",
                  "one of them");
   if (Errors.Lines.empty())
     return Read;
   for (std::string &Line : Errors.Lines)
     Line = FileName + ": " + Line;
-  return fail(ErrorKind::InvalidSettings, Errors.text());
+  return fail(ErrorKind::InvalidSettings, Errors.joinErrors());
 }
 
 bool runsOnStore(const Settings &Config) {
--- a/packages/core/src/weights/chunk_plan.cpp
+++ b/packages/core/src/weights/chunk_plan.cpp
@@ -80,7 +80,7 @@
   return Plan;
 }
 
-bool planned(const ChunkPlan &Plan) { return Plan.Self < Plan.Hosts.size(); }
+bool isPlanned(const ChunkPlan &Plan) { return Plan.Self < Plan.Hosts.size(); }
 
 size_t originRank(const ChunkPlan &Plan, size_t n) {
   return ringDistance(n, Plan.Self, Plan.Hosts.size());
@@ -96,7 +96,7 @@
 
 std::vector<PeerAddress> chunkPeers(const ChunkPlan &Plan) {
   std::vector<PeerAddress> Peers;
-  if (!planned(Plan))
+  if (!isPlanned(Plan))
     return Peers;
   const PlanHost &Self = Plan.Hosts[Plan.Self];
   for (const PlanHost &Other : Plan.Hosts) {
--- a/packages/core/src/weights/chunk_plan_func.h
+++ b/packages/core/src/weights/chunk_plan_func.h
@@ -24,7 +24,7 @@
  * @param Plan The plan.
  * @return False for a host that is not published.
  */
-bool planned(const ChunkPlan &Plan);
+bool isPlanned(const ChunkPlan &Plan);
 
 /**
  * Gives the rank of this host for fetching a chunk from the origin.
--- a/packages/core/src/weights/chunk_progress.cpp
+++ b/packages/core/src/weights/chunk_progress.cpp
@@ -15,7 +15,7 @@
 }
 
 bool hasAnnounced(const ChunkPeer &Peer, const Digest &Set, size_t n) {
-  return Peer.Told.Set == Set && hasBit(Peer.Told.Held, n);
+  return Peer.Announced.Set == Set && hasBit(Peer.Announced.Held, n);
 }
 
 void cancelChunkRequest(TransferState &Transfer, size_t n) {
--- a/packages/core/src/weights/origin_draw.cpp
+++ b/packages/core/src/weights/origin_draw.cpp
@@ -84,7 +84,7 @@
                         TimePoint Now) {
   if (!Transfer.Options.FromPeers)
     return true;
-  if (!planned(Transfer.Plan) || Now < Transfer.LinksSettledAt)
+  if (!isPlanned(Transfer.Plan) || Now < Transfer.LinksSettledAt)
     return false;
   const ChunkProgress &Chunk = Transfer.Chunks[n];
   const bool Claimed = Chunk.ImportersInDomain + Chunk.ImportersElsewhere > 0;
@@ -112,7 +112,7 @@
     ++Transfer.OriginRequests;
     Out.push_back(FetchFromOrigin{chunkRef(Transfer, n)});
     const size_t Rank =
-        planned(Transfer.Plan) ? originRank(Transfer.Plan, n) : 0;
+        isPlanned(Transfer.Plan) ? originRank(Transfer.Plan, n) : 0;
     if (Rank == 0 || !Transfer.Options.FromPeers)
       continue;
     // The other chunks of the first fetcher need no further waits.
--- a/packages/core/src/weights/rollout.cpp
+++ b/packages/core/src/weights/rollout.cpp
@@ -188,7 +188,7 @@
 std::vector<size_t> predecessors(const AgentState &Agent, bool Idle) {
   std::vector<size_t> Found;
   const ChunkPlan &Plan = Agent.Transfer.Plan;
-  if (!planned(Plan))
+  if (!isPlanned(Plan))
     return Found;
   const size_t Step = maxConcurrentLoads(Agent, Idle);
   for (size_t n = Plan.Self; n >= Step && Found.size() < MaxPredecessors;) {
--- a/packages/core/src/weights/transfer.cpp
+++ b/packages/core/src/weights/transfer.cpp
@@ -75,15 +75,15 @@
  * removes it from them. */
 void countAnnounced(TransferState &Transfer, const ChunkPeer &Peer, bool Add,
                     TimePoint Now) {
-  if (Peer.Told.Set != Transfer.Set)
+  if (Peer.Announced.Set != Transfer.Set)
     return;
   const uint32_t Step = Add ? 1 : UINT32_MAX; // Wraps around to -1.
   for (size_t n = 0; n < Transfer.Chunks.size(); ++n) {
     ChunkProgress &Chunk = Transfer.Chunks[n];
-    if (hasBit(Peer.Told.Coming, n))
+    if (hasBit(Peer.Announced.Imports, n))
       (Peer.SameDomain ? Chunk.ImportersInDomain : Chunk.ImportersElsewhere) +=
           Step;
-    if (!hasBit(Peer.Told.Held, n))
+    if (!hasBit(Peer.Announced.Held, n))
       continue;
     (Peer.SameDomain ? Chunk.HoldersInDomain : Chunk.HoldersElsewhere) += Step;
     if (Add)
@@ -145,7 +145,7 @@
  */
 bool mayImport(const TransferState &Transfer, size_t n, TimePoint Now) {
   const ChunkProgress &Chunk = Transfer.Chunks[n];
-  if (!planned(Transfer.Plan) || hasUsableHolder(Transfer, n, true, Now))
+  if (!isPlanned(Transfer.Plan) || hasUsableHolder(Transfer, n, true, Now))
     return false;
   const size_t Rank = importRank(Transfer.Plan, n) +
                       (Chunk.ImportersInDomain > 0 ? ImportClaimRanks : 0);
@@ -265,12 +265,12 @@
   ChunkHave Have;
   Have.Set = Transfer.Set;
   Have.Held.assign((Transfer.Digests.size() + 7) / 8, 0);
-  Have.Coming = Have.Held;
+  Have.Imports = Have.Held;
   for (size_t n = 0; n < Transfer.Digests.size(); ++n) {
     if (!Transfer.Missing.contains(n))
       setBit(Have.Held, n);
     else if (Transfer.Chunks[n].Importing)
-      setBit(Have.Coming, n);
+      setBit(Have.Imports, n);
   }
   return Have;
 }
@@ -380,7 +380,7 @@
           : LinkShare * Transfer.Options.LinkBytesPerSecond;
   if (Transfer.Options.LinkBytesPerSecond > 0)
     Transfer.Uplink.BurstSeconds = LinkBurstSeconds;
-  Transfer.Across.PerSecond = static_cast<double>(Config.AcrossBytesPerSecond);
+  Transfer.CrossDomain.PerSecond = static_cast<double>(Config.AcrossBytesPerSecond);
   Transfer.Random = rendezvousScore("transfer", Config.Name) | 1U;
   return Transfer;
 }
@@ -439,7 +439,7 @@
   if (it == Transfer.Peers.end())
     return;
   countAnnounced(Transfer, it->second, false, Now);
-  it->second.Told = Have;
+  it->second.Announced = Have;
   countAnnounced(Transfer, it->second, true, Now);
 }
 
--- a/packages/core/src/weights/transfer_type.h
+++ b/packages/core/src/weights/transfer_type.h
@@ -49,7 +49,7 @@
 struct ChunkPeer {
   HostName Name;              ///< Published name.
   bool SameDomain = true;     ///< In this host's failure domain.
-  ChunkHave Told;             ///< Its latest announcement of chunks.
+  ChunkHave Announced;             ///< Its latest announcement of chunks.
   std::set<size_t> Requested; ///< Chunks requested from it, not received yet.
   TimePoint LastData;    ///< Last data from it, or first of the open requests.
   Duration ChunkTime{0}; ///< Average time of its chunks; 0: unknown.
@@ -114,7 +114,7 @@
   size_t OriginRequests = 0;               ///< Open requests to the origin.
   std::deque<Upload> Uploads; ///< Requests of peers, in order of arrival.
   RateLimit Uplink;           ///< Limit for all chunks sent.
-  RateLimit Across;           ///< Limit for chunks sent to other domains.
+  RateLimit CrossDomain;           ///< Limit for chunks sent to other domains.
   std::map<HostName, TimePoint> LostPeers; ///< When links to agents were lost.
   std::set<size_t> SubstitutedHosts; ///< Hosts whose origin chunks this host
                                      ///< took over, by position in the plan.
--- a/packages/core/src/weights/upload.cpp
+++ b/packages/core/src/weights/upload.cpp
@@ -35,7 +35,7 @@
   const ChunkPeer &Peer = Transfer.Peers.at(One.Link);
   if (Peer.BacklogBytes > MaxBacklogBytes)
     return false;
-  return Peer.SameDomain || rateAllows(Transfer.Across, Now);
+  return Peer.SameDomain || rateAllows(Transfer.CrossDomain, Now);
 }
 
 /** Gives the reference of a staged chunk, for the engine to send it. */
@@ -65,7 +65,7 @@
   const size_t Bytes = Staged ? Part : Data.Bytes.size();
   rateSpend(Transfer.Uplink, static_cast<double>(Bytes));
   if (!Peer.SameDomain)
-    rateSpend(Transfer.Across, static_cast<double>(Bytes));
+    rateSpend(Transfer.CrossDomain, static_cast<double>(Bytes));
   Peer.BacklogBytes += Bytes;
   Transfer.Counters.BytesSent += Bytes;
   if (Staged)
--- a/packages/core/src/weights/weights.cpp
+++ b/packages/core/src/weights/weights.cpp
@@ -115,8 +115,8 @@
   Load.Order.Chunks = Weights.Wanted.Chunks;
   for (const Digest &Chunk : Weights.Wanted.Chunks)
     Load.Chunks.push_back(Weights.Held.at(Chunk));
-  Load.Order.Anew = Weights.Unconfirmed.contains(Load.Order.Set);
-  Weights.Ordered = Load.Order.Set;
+  Load.Order.ForceReload = Weights.Unconfirmed.contains(Load.Order.Set);
+  Weights.OrderedSet = Load.Order.Set;
   Weights.OrderedRun = Weights.EngineRun;
   Weights.Loading = true;
   ++Weights.OrdersGiven;
@@ -144,7 +144,7 @@
 }
 
 void orderUnconfirmed(WeightsState &Weights) {
-  Weights.Unconfirmed.insert(Weights.Ordered);
+  Weights.Unconfirmed.insert(Weights.OrderedSet);
 }
 
 void orderConfirmed(WeightsState &Weights) { Weights.Unconfirmed.clear(); }
--- a/packages/core/src/weights/weights_type.h
+++ b/packages/core/src/weights/weights_type.h
@@ -34,7 +34,7 @@
   uint64_t OrdersGiven = 0;       ///< Load orders sent.
   uint64_t OrdersEnded = 0;       ///< Load orders that succeeded or failed.
   std::set<Digest> PublishedSets; ///< Published sets, hence complete.
-  Digest Ordered;                 ///< Set of the last load order.
+  Digest OrderedSet;                 ///< Set of the last load order.
   std::string OrderedRun;         ///< Incarnation of the engine at that time.
   std::set<Digest> Unconfirmed; ///< Sets that this incarnation may have loaded
                                 ///< from chunks other than the verified ones.
--- a/packages/core/src/wire/message_fields.h
+++ b/packages/core/src/wire/message_fields.h
@@ -28,15 +28,15 @@
   v("version", m.Version);
   v("digest", m.ConfigDigest);
   v("fresh", m.Fresh);
-  v("at", m.At);
-  v("callers", m.Callers);
+  v("at", m.LinkAddress);
+  v("callers", m.CallerAddress);
 }
 
 template <typename V> void describe(V &v, EntrySeen &m) {
   v("name", m.Name);
   v("domain", m.Domain);
-  v("at", m.At);
-  v("callers", m.Callers);
+  v("at", m.LinkAddress);
+  v("callers", m.CallerAddress);
 }
 
 template <typename V> void describe(V &v, WorkerLoad &m) {
@@ -61,20 +61,20 @@
 }
 
 template <typename V> void describe(V &v, PlaceAsk &m) {
-  v("place", m.Place);
+  v("place", m.SlotId);
   v("request", m.Request);
   v("tenant", m.Tenant);
   v("rank", m.Rank);
   v("wait", m.WaitMillis);
   v("first_part", m.FirstPartMillis);
   v("prompt", m.PromptTokens);
-  v("most_reading", m.MostReadingMillis);
-  v("spare", m.Spare);
+  v("most_reading", m.MaxReadingMillis);
+  v("spare", m.SpareOnly);
 }
 
 template <typename V> void describe(V &v, PlaceAnswer &m) {
-  v("place", m.Place);
-  v("given", m.Given);
+  v("place", m.SlotId);
+  v("given", m.Granted);
   v("why", m.Why);
   v("retry_after", m.RetryAfterMillis);
   v("reading", m.ReadingMillis);
@@ -82,8 +82,8 @@
 }
 
 template <typename V> void describe(V &v, PlaceDone &m) {
-  v("place", m.Place);
-  v("whole", m.Whole);
+  v("place", m.SlotId);
+  v("whole", m.IsComplete);
   v("sent", m.Sent);
   v("first_part", m.FirstPartMillis);
 }
@@ -95,13 +95,13 @@
   v("digest", m.ConfigDigest);
   v("leaving", m.Leaving);
   v("fresh", m.Fresh);
-  v("service", m.Service);
+  v("service", m.ReachesConfigService);
   v("same", m.SameDigests);
   describe(v, m.Load);
 }
 
 template <typename V> void describe(V &v, ConfigPull &m) {
-  v("have", m.Have);
+  v("have", m.HeldVersion);
   v("probe", m.Probe);
 }
 
@@ -121,7 +121,7 @@
   v("token", m.Token);
   v("resume_on", m.ResumeOn);
   v("resume_from", m.ResumeFrom);
-  v("alone", m.Alone);
+  v("alone", m.MustRunAlone);
 }
 
 template <typename V> void describe(V &v, AttemptBegun &m) {
@@ -184,7 +184,7 @@
 template <typename V> void describe(V &v, ChunkHave &m) {
   v("set", m.Set);
   v("held", m.Held);
-  v("coming", m.Coming);
+  v("coming", m.Imports);
 }
 
 template <typename V> void describe(V &v, ChunkListTold &m) {
@@ -195,7 +195,7 @@
 }
 
 template <typename V> void describe(V &v, RateHeard &m) {
-  v("place", m.Place);
+  v("place", m.SlotId);
   v("server", m.Server);
   v("per_second", m.PerSecond);
   v("age", m.AgeMillis);
@@ -209,7 +209,7 @@
   v("fingerprint", m.Fingerprint);
   v("death", m.DeathId);
   v("age", m.AgeMillis);
-  v("alone", m.Alone);
+  v("alone", m.WasAlone);
   v("cleared", m.Cleared);
 }
 
--- a/packages/core/src/wire/message_type.h
+++ b/packages/core/src/wire/message_type.h
@@ -40,8 +40,8 @@
   ConfigVersion Version; ///< Configuration in force at the sender.
   Digest ConfigDigest;   ///< Digest of that document.
   bool Fresh = false;    ///< The sender's view is fresh; see join_type.h.
-  Address At;            ///< Address that accepts links; empty: not given.
-  Address Callers;       ///< Address for callers; set by entries only.
+  Address LinkAddress;            ///< Address that accepts links; empty: not given.
+  Address CallerAddress;       ///< Address for callers; set by entries only.
 };
 
 /** Load and state of one back end, reported by its agent. */
@@ -72,14 +72,14 @@
   Digest ConfigDigest;      ///< Digest of that document.
   bool Leaving = false;     ///< The sender takes no new requests.
   bool Fresh = false;       ///< The sender's view is fresh; see join_type.h.
-  bool Service = false;     ///< The sender reaches the configuration service.
+  bool ReachesConfigService = false;     ///< The sender reaches the configuration service.
   bool SameDigests = false; ///< Digests are omitted: same as in the last one.
   WorkerLoad Load;          ///< Set by agents only.
 };
 
 /** Requests a peer's configuration document. */
 struct ConfigPull {
-  ConfigVersion Have; ///< Version in force at the sender.
+  ConfigVersion HeldVersion; ///< Version in force at the sender.
   bool Probe = false; ///< Only checks whether the peer's view is fresh.
 };
 
@@ -101,7 +101,7 @@
   std::string Token;            ///< Home token of the key; may be empty.
   Digest ResumeOn;              ///< Weights required to resume; empty: any.
   uint64_t ResumeFrom = 0; ///< Frames that the caller has received already.
-  bool Alone = false;      ///< Must run alone, as it may crash the back end.
+  bool MustRunAlone = false;      ///< Must run alone, as it may crash the back end.
 };
 
 /** Load of a back end, sent with each answer to be newer than heartbeats. */
@@ -192,7 +192,7 @@
   Digest Set;                ///< Digest that identifies the weights set.
   std::vector<uint8_t> Held; ///< Bitmap of chunks that the sender holds.
   /** Bitmap of chunks requested from the origin or from another domain. */
-  std::vector<uint8_t> Coming;
+  std::vector<uint8_t> Imports;
 };
 
 /**
@@ -211,7 +211,7 @@
   Digest Fingerprint;     ///< Digest of workspace, class and body.
   std::string DeathId;    ///< Identifies the crash, so that it counts once.
   uint64_t AgeMillis = 0; ///< Time since the crash.
-  bool Alone = false;     ///< The request ran alone, so it caused the crash.
+  bool WasAlone = false;     ///< The request ran alone, so it caused the crash.
   bool Cleared = false;   ///< It has completed since: discard its crashes.
 };
 
@@ -230,8 +230,8 @@
 struct EntrySeen {
   HostName Name;     ///< Name of the entry.
   DomainName Domain; ///< Failure domain of the entry.
-  Address At;        ///< Address that accepts links.
-  Address Callers;   ///< Address for callers.
+  Address LinkAddress;        ///< Address that accepts links.
+  Address CallerAddress;   ///< Address for callers.
 };
 
 /**
@@ -239,7 +239,7 @@
  * then sends to the back end itself.
  */
 struct PlaceAsk {
-  AttemptId Place;         ///< Globally unique; never reused.
+  AttemptId SlotId;         ///< Globally unique; never reused.
   RequestId Request;       ///< Correlates log lines across hosts.
   TenantName Tenant;       ///< Workspace that the request belongs to.
   uint32_t Rank = 0;       ///< Priority; 0 is the highest.
@@ -250,14 +250,14 @@
   uint32_t PromptTokens = 0; ///< Length of the prompt; 0: not known.
   /** Refuse unless the request can start at once and the prefill backlog is at
    * most this long; 0: no limit, and the request may wait. */
-  uint32_t MostReadingMillis = 0;
-  bool Spare = false; ///< Only take a slot that no on-time request needs.
+  uint32_t MaxReadingMillis = 0;
+  bool SpareOnly = false; ///< Only take a slot that no on-time request needs.
 };
 
 /** Answer to PlaceAsk, sent at once or after waiting in the queue. */
 struct PlaceAnswer {
-  AttemptId Place;                     ///< Slot from the request.
-  bool Given = false;                  ///< The request may be sent now.
+  AttemptId SlotId;                     ///< Slot from the request.
+  bool Granted = false;                  ///< The request may be sent now.
   ErrorKind Why = ErrorKind::Internal; ///< Reason of a refusal.
   uint64_t RetryAfterMillis = 0;       ///< Time until a slot may be free.
   uint32_t ReadingMillis = 0;          ///< Prefill backlog of the back end.
@@ -266,8 +266,8 @@
 
 /** Releases a slot, or withdraws the request for one. */
 struct PlaceDone {
-  AttemptId Place;              ///< Slot from the request.
-  bool Whole = false;           ///< The answer is complete.
+  AttemptId SlotId;              ///< Slot from the request.
+  bool IsComplete = false;           ///< The answer is complete.
   bool Sent = false;            ///< The request reached the back end.
   uint64_t FirstPartMillis = 0; ///< Time from the grant to the first part of
                                 ///< the answer; 0: not known.
@@ -278,7 +278,7 @@
  * the back end or to other entries.
  */
 struct RateHeard {
-  AttemptId Place;                 ///< Slot of the request; may be empty.
+  AttemptId SlotId;                 ///< Slot of the request; may be empty.
   InstanceId Server;               ///< Back end that the limit applies to.
   std::optional<double> PerSecond; ///< Requests/s; nullopt: none was stated.
   uint64_t AgeMillis = 0; ///< Time since the answer arrived; without a limit:
--- a/packages/entry/src/admin_api.cpp
+++ b/packages/entry/src/admin_api.cpp
@@ -201,7 +201,7 @@
             Values);
 }
 
-AdminApi::~AdminApi() { Server->finish(AcceptThread); }
+AdminApi::~AdminApi() { Server->drainAndStop(AcceptThread); }
 
 std::string AdminApi::start() {
   return startServer(*Server, ListenAddress, AcceptThread);
--- a/packages/entry/src/caller_api.cpp
+++ b/packages/entry/src/caller_api.cpp
@@ -197,7 +197,7 @@
   for (;;) {
     const auto Event = Channel.pop(KeepAlivePeriod);
     // The caller left: end the call, so that its attempt is cancelled.
-    if (callerGone())
+    if (isCallerGone())
       return false;
     if (!Event)
       continue;
@@ -269,7 +269,7 @@
                        httplib::Response &Res) {
   std::optional<CallEvent> FirstEvent;
   while (!(FirstEvent = Channel->pop(KeepAlivePeriod)))
-    if (callerGone()) {
+    if (isCallerGone()) {
       Shell.finishCall(Call.Call, false);
       return;
     }
@@ -397,7 +397,7 @@
                });
 }
 
-CallerApi::~CallerApi() { Server->finish(AcceptThread); }
+CallerApi::~CallerApi() { Server->drainAndStop(AcceptThread); }
 
 std::string CallerApi::start() {
   return startServer(*Server, Config.CallerListen, AcceptThread);
--- a/packages/entry/src/entry_metrics.cpp
+++ b/packages/entry/src/entry_metrics.cpp
@@ -116,7 +116,7 @@
                   Routes.counters().get(static_cast<ForwardCount>(n)))));
   addFamily(All, MetricType::Gauge,
             {"jacinthpond_route_open", "Requests on routes under way."},
-            unlabelledValue(Routes.open()));
+            unlabelledValue(Routes.countOpenRequests()));
   return All;
 }
 
--- a/packages/entry/src/entry_shell.cpp
+++ b/packages/entry/src/entry_shell.cpp
@@ -51,17 +51,17 @@
              [this](LinkId Link, Message m) {
                if (const auto *Answer = std::get_if<PlaceAnswer>(&m)) {
                  if (this->Routes != nullptr)
-                   this->Routes->placeAnswered(Link, *Answer);
+                   this->Routes->handleSlotAnswer(Link, *Answer);
                  return;
                }
                if (std::holds_alternative<Pong>(m)) {
                  if (this->Routes != nullptr)
-                   this->Routes->hostAnswered(Link);
+                   this->Routes->handlePong(Link);
                  return;
                }
                if (const auto *RateNotice = std::get_if<RateHeard>(&m)) {
                  if (this->Routes != nullptr)
-                   this->Routes->rateTold(*RateNotice);
+                   this->Routes->handleRateNotice(*RateNotice);
                  return;
                }
                post([this, Link, Kept = std::move(m)](TimePoint Now,
@@ -80,7 +80,7 @@
                });
              }}) {
   if (Routes != nullptr)
-    Routes->sendThrough(
+    Routes->setSenders(
         [this](LinkId Link, const Message &m) { Links.send(Link, m); },
         [this](const Message &m) {
           post([this, m](TimePoint, Effects &Out) {
@@ -138,7 +138,7 @@
     return;
   SharedDocument = State.View.InForce;
   if (Routes != nullptr)
-    Routes->follow(SharedDocument, State.View.PublishedAfter);
+    Routes->setDocument(SharedDocument, State.View.PublishedAfter);
 }
 
 void EntryShell::updateForwarder(TimePoint Now) {
@@ -146,16 +146,16 @@
     return;
   std::vector<AgentNews> Reports = newsOfAgents(State, LastAgentReports);
   if (!Reports.empty())
-    Routes->told(std::move(Reports));
+    Routes->handleAgentReports(std::move(Reports));
   FleetSnapshot Fleet = fleetSnapshot(State, Now);
   if (Fleet == LastFleet)
     return;
   LastFleet = Fleet;
-  Routes->fleet(std::move(Fleet));
+  Routes->setFleet(std::move(Fleet));
 }
 
 size_t EntryShell::countOpenRequests() {
-  return Callers.size() + (Routes == nullptr ? 0 : Routes->open());
+  return Callers.size() + (Routes == nullptr ? 0 : Routes->countOpenRequests());
 }
 
 DocumentPtr EntryShell::document() {
@@ -270,7 +270,7 @@
 bool EntryShell::drain() {
   Leaving = true;
   if (Routes != nullptr)
-    Routes->leave();
+    Routes->beginLeaving();
   const TimePoint StartTime = Clock.now();
   const Millis TimeLimit = shutdownTime(State.Config, EndMargin);
   const TimePoint Limit = StartTime + TimeLimit;
@@ -287,7 +287,7 @@
   // answered before the process ends, so they are refused as not run.
   if (Routes != nullptr) {
     waitForOpenRequests(StartTime + Notice / 2, StartTime + Notice / 2);
-    Routes->refuseNew();
+    Routes->refuseNewRequests();
   }
   if (waitForOpenRequests(StartTime + Notice, Limit))
     return true;
--- a/packages/entry/src/forward/exchange.cpp
+++ b/packages/entry/src/forward/exchange.cpp
@@ -78,7 +78,7 @@
 
 void Exchange::start() {
   Shared.Counters.add(ForwardCount::Requests);
-  Id = fieldValue(Incoming, Shared.Wire.names().AttemptId);
+  Id = fieldValue(Incoming, Shared.Wire.headerNames().AttemptId);
   Session->setDisconnectHandler(shared_from_this());
   readDeadline();
   if (waitUntilReady())
@@ -129,10 +129,10 @@
   RequestDeadline =
       std::min(RequestDeadline, ArrivalTime + RequestRoute->Timeout);
   Needs.Service = chooseTarget(*RequestRoute, Id);
-  Needs.From = RequestRoute;
+  Needs.MatchedRoute = RequestRoute;
   Needs.Owner = Owner;
   if (const auto Last =
-          parseNumber(fieldValue(Incoming, Shared.Wire.names().LastEventId)))
+          parseNumber(fieldValue(Incoming, Shared.Wire.headerNames().LastEventId)))
     Events.LastId = static_cast<uint64_t>(*Last);
   armTimer();
   countFirst(Shared.Repeats, Needs.Service, ArrivalTime);
@@ -176,7 +176,7 @@
  * waits. */
 void Exchange::readDeadline() {
   const auto MillisLeft =
-      parseNumber(fieldValue(Incoming, Shared.Wire.names().Remaining));
+      parseNumber(fieldValue(Incoming, Shared.Wire.headerNames().Remaining));
   RequestDeadline =
       ArrivalTime + Millis(std::clamp(MillisLeft.value_or(MaxRemainingMillis),
                                       int64_t{0}, MaxRemainingMillis));
@@ -260,7 +260,7 @@
 /** Sends the request to a back end. */
 void Exchange::sendTo(const ServerView &Server) {
   const TimePoint Now = Shared.Clock.now();
-  const HeaderNames &Names = Shared.Wire.names();
+  const HeaderNames &Names = Shared.Wire.headerNames();
   if (CurrentSlot.Value.empty())
     sentPastAgent(Shared.Pool, ServerId, Now);
   AttemptHeaders Added;
--- a/packages/entry/src/forward/exchange_answer.cpp
+++ b/packages/entry/src/forward/exchange_answer.cpp
@@ -27,7 +27,7 @@
  * part of the back end that never sends these headers.
  */
 void Exchange::readRateLimit(const ResponseHead &Received, bool Success) {
-  const auto &Names = Shared.Wire.names().RateLimits;
+  const auto &Names = Shared.Wire.headerNames().RateLimits;
   const auto it = std::ranges::find_if(
       Names, [&](const std::string &Name) { return Received.count(Name) > 0; });
   if (it == Names.end()) {
@@ -71,7 +71,7 @@
 /** Checks the head of a response and decides how its body is handled. */
 void Exchange::handleAnswerHead(const ResponseHead &Received) {
   const TimePoint Now = Shared.Clock.now();
-  const HeaderNames &Names = Shared.Wire.names();
+  const HeaderNames &Names = Shared.Wire.headerNames();
   LastProgress = Now;
   serverHeard(Shared.Pool, ServerId, Now);
   if (const auto Busy = Shared.Wire.busyOf(fieldValue(Received, Names.Load)))
--- a/packages/entry/src/forward/exchange_log.cpp
+++ b/packages/entry/src/forward/exchange_log.cpp
@@ -58,7 +58,7 @@
               Server.Listed.Id.Value + " at=" + Server.Listed.At.Value +
               " open=" + std::to_string(Server.Open) +
               " others=" + std::to_string(Server.OtherWork) +
-              " told_ms=" + millisSince(Server.ToldAt, Now) + " left_ms=" +
+              " told_ms=" + millisSince(Server.LoadReportedAt, Now) + " left_ms=" +
               std::to_string(toMillis(RequestDeadline - Now).count()) +
               " caller_age_ms=" + std::to_string(toMillis(CallerAge).count()) +
               " candidates=" + std::to_string(Choice.Candidates) +
@@ -70,7 +70,7 @@
                    : millisSince(*Wanted->PublishedAfter, Now)) +
               " agent=" + (hasAgent(Server) ? "yes" : "no") +
               " rate=" + rateText(Server.Rate) + " rate_ms=" +
-              (Server.Rate.PerSecond ? millisSince(Server.Rate.NamedAt, Now)
+              (Server.Rate.PerSecond ? millisSince(Server.Rate.LimitSeenAt, Now)
                                      : "-"));
 }
 
--- a/packages/entry/src/forward/exchange_place.cpp
+++ b/packages/entry/src/forward/exchange_place.cpp
@@ -37,7 +37,7 @@
 void Exchange::requestSlot(const ServerView &Server) {
   const TimePoint Now = Shared.Clock.now();
   PlaceAsk Ask;
-  Ask.Place.Value =
+  Ask.SlotId.Value =
       Shared.SlotIdPrefix + std::to_string(Shared.NextSlotNumber++);
   Ask.Request.Value = logValue(Id);
   Ask.Tenant = Owner == nullptr ? TenantName{} : Owner->Name;
@@ -47,22 +47,22 @@
   if (!HeadSent)
     Ask.FirstPartMillis = static_cast<uint64_t>(Wait.count());
   if (!HeadSent && Wait.count() == 0) { // The target is missed in any case.
-    Ask.Spare = true;
+    Ask.SpareOnly = true;
     Wait = lateWait(nextPartDeadline() - Now);
     takeBusyOnes(Search, Needs); // It need not start at once.
   }
   Ask.WaitMillis = static_cast<uint64_t>(Wait.count());
   Ask.PromptTokens = Shared.Wire.promptTokens(
-      fieldValue(Incoming, Shared.Wire.names().TokenCounts));
+      fieldValue(Incoming, Shared.Wire.headerNames().TokenCounts));
   const Millis MostReading = mostReading(Search);
-  Ask.MostReadingMillis = static_cast<uint32_t>(MostReading.count());
+  Ask.MaxReadingMillis = static_cast<uint32_t>(MostReading.count());
   placeAsked(Search);
   SlotAnswerDeadline =
       Now + std::clamp(RequestRoute->Target / AgentAnswerFraction,
                        MinAgentAnswerTime, MaxAgentAnswerTime);
   if (MostReading.count() == 0)
     SlotAnswerDeadline += Wait; // It may wait in the agent's queue.
-  CurrentSlot = Ask.Place;
+  CurrentSlot = Ask.SlotId;
   SlotAgentLink = Server.Agent->Link;
   AwaitingSlot = true;
   Shared.SlotWaiters[CurrentSlot] = weak_from_this();
@@ -70,7 +70,7 @@
     Shared.SendToAgent(SlotAgentLink, *Notice);
   Shared.SendToAgent(SlotAgentLink, Ask);
   const bool First = hostAsked(Shared.Pool, ServerId, Now);
-  if (First && (Ask.Spare || MostReading.count() == 0))
+  if (First && (Ask.SpareOnly || MostReading.count() == 0))
     Shared.SendToAgent(SlotAgentLink, Ping{}); // The slot may take a while.
   armTimer();
 }
@@ -80,16 +80,16 @@
 void Exchange::handleSlotAnswer(const PlaceAnswer &Answer) {
   const auto Self = shared_from_this();
   const TimePoint Now = Shared.Clock.now();
-  if (!Session || !AwaitingSlot || Answer.Place != CurrentSlot)
+  if (!Session || !AwaitingSlot || Answer.SlotId != CurrentSlot)
     return;
   AwaitingSlot = false;
   loadTold(Shared.Pool, ServerId, Answer.Load.Busy, Now);
   readingTold(Shared.Pool, ServerId, Millis(Answer.ReadingMillis));
-  if (Answer.Given && mayStillUse(Shared.Pool, ServerId, Needs, Now)) {
+  if (Answer.Granted && mayStillUse(Shared.Pool, ServerId, Needs, Now)) {
     sendTo(Shared.Pool.Servers.at(ServerId));
     return;
   }
-  if (!Answer.Given) {
+  if (!Answer.Granted) {
     CurrentSlot = {}; // The agent keeps no record of a refused slot.
     const Millis Room(static_cast<int64_t>(Answer.RetryAfterMillis));
     if (Answer.Why == ErrorKind::RateLimited) {
@@ -126,8 +126,8 @@
     return;
   Shared.SlotWaiters.erase(CurrentSlot);
   PlaceDone Done;
-  Done.Place = CurrentSlot;
-  Done.Whole = How == AttemptEnd::Answered;
+  Done.SlotId = CurrentSlot;
+  Done.IsComplete = How == AttemptEnd::Answered;
   Done.Sent = Call != nullptr && Call->hasSent();
   if (FirstByteTime && *FirstByteTime >= CallStartTime)
     Done.FirstPartMillis =
--- a/packages/entry/src/forward/forwarder.cpp
+++ b/packages/entry/src/forward/forwarder.cpp
@@ -216,7 +216,7 @@
   });
 }
 
-void Forwarder::follow(DocumentPtr Doc,
+void Forwarder::setDocument(DocumentPtr Doc,
                        std::optional<TimePoint> PublishedAfter) {
   boost::asio::post(Shared.Io, [this, Doc = std::move(Doc), PublishedAfter] {
     const TimePoint Now = Shared.Clock.now();
@@ -238,32 +238,32 @@
       Waiter->handleEntryReady();
 }
 
-void Forwarder::hostAnswered(LinkId Link) {
+void Forwarder::handlePong(LinkId Link) {
   boost::asio::post(Shared.Io, [this, Link] { hostHeard(Shared.Pool, Link); });
 }
 
-void Forwarder::rateTold(const RateHeard &Heard) {
+void Forwarder::handleRateNotice(const RateHeard &Heard) {
   boost::asio::post(Shared.Io, [this, Heard] {
     const RateChange Change =
-        jacinthpond::rateTold(Shared.Pool, Heard, Shared.Clock.now());
+        jacinthpond::recordPeerRate(Shared.Pool, Heard, Shared.Clock.now());
     // Passed on, since in a large fleet not all entries are linked directly.
     if (Change != RateChange::None)
       Shared.SendToEntries(Heard);
   });
 }
 
-void Forwarder::placeAnswered(LinkId Link, const PlaceAnswer &Answer) {
+void Forwarder::handleSlotAnswer(LinkId Link, const PlaceAnswer &Answer) {
   boost::asio::post(Shared.Io, [this, Link, Answer] {
     hostHeard(Shared.Pool, Link);
     // Removed with its answer: a weak pointer that stays in the map would keep
     // the memory of its request allocated.
-    const auto Node = Shared.SlotWaiters.extract(Answer.Place);
+    const auto Node = Shared.SlotWaiters.extract(Answer.SlotId);
     if (const auto Waiter = Node ? Node.mapped().lock() : nullptr)
       Waiter->handleSlotAnswer(Answer);
   });
 }
 
-void Forwarder::told(std::vector<AgentNews> News) {
+void Forwarder::handleAgentReports(std::vector<AgentNews> News) {
   boost::asio::post(Shared.Io, [this, News = std::move(News)] {
     const TimePoint Now = Shared.Clock.now();
     for (const AgentNews &One : News)
@@ -271,7 +271,7 @@
   });
 }
 
-void Forwarder::fleet(FleetSnapshot Fleet) {
+void Forwarder::setFleet(FleetSnapshot Fleet) {
   boost::asio::post(Shared.Io, [this, Fleet = std::move(Fleet)] {
     listingAway(Shared.Pool, Fleet.ListingAway, Shared.Clock.now());
     Shared.Pool.Entries = Fleet.Sharers;
@@ -300,14 +300,14 @@
     To.answer(std::move(Out));
     return;
   }
-  const std::vector<Address> Entries = directoryAnswer(
+  const std::vector<Address> Entries = directoryAddresses(
       Shared.Fleet.Alive, Shared.Doc.get(), Question->Domain, Question->Region);
   // With status 503 the caller asks the next entry.
   Out.result(Entries.empty() ? http::status::service_unavailable
                              : http::status::ok);
   Out.set(http::field::content_type, "application/json");
   Out.body() =
-      Shared.Wire.directoryAnswer(Entries, Millis(Config.AddressKeepMillis));
+      Shared.Wire.formatDirectoryAnswer(Entries, Millis(Config.AddressKeepMillis));
   To.answer(std::move(Out));
 }
 
--- a/packages/entry/src/forward/forwarder.h
+++ b/packages/entry/src/forward/forwarder.h
@@ -46,20 +46,20 @@
    * @param Doc The document.
    * @param PublishedAfter Time before which it was not published, if known.
    */
-  void follow(DocumentPtr Doc, std::optional<TimePoint> PublishedAfter);
+  void setDocument(DocumentPtr Doc, std::optional<TimePoint> PublishedAfter);
 
   /** Applies reports of agents. @param News The reports. */
-  void told(std::vector<AgentNews> News);
+  void handleAgentReports(std::vector<AgentNews> News);
 
   /** Applies a change of the fleet. @param Fleet The current state. */
-  void fleet(FleetSnapshot Fleet);
+  void setFleet(FleetSnapshot Fleet);
 
   /**
    * Sets the functions that send messages. Called before start().
    * @param ToAgent Sends over a link; callable from any thread.
    * @param ToEntries Sends to all other entries; callable from any thread.
    */
-  void sendThrough(std::function<void(LinkId, const Message &)> ToAgent,
+  void setSenders(std::function<void(LinkId, const Message &)> ToAgent,
                    std::function<void(const Message &)> ToEntries) {
     Shared.SendToAgent = std::move(ToAgent);
     Shared.SendToEntries = std::move(ToEntries);
@@ -69,30 +69,30 @@
    * Handles a rate limit notice of another entry.
    * @param Heard The notice.
    */
-  void rateTold(const RateHeard &Heard);
+  void handleRateNotice(const RateHeard &Heard);
 
   /**
    * Handles an agent's answer to a request for a slot.
    * @param Link The link to the agent.
    * @param Answer The answer.
    */
-  void placeAnswered(LinkId Link, const PlaceAnswer &Answer);
+  void handleSlotAnswer(LinkId Link, const PlaceAnswer &Answer);
 
   /** Handles an agent's answer to a ping. @param Link The link to the agent. */
-  void hostAnswered(LinkId Link);
+  void handlePong(LinkId Link);
 
   /** Begins to leave: readiness checks fail from now on, and responses close
    * their connections. */
-  void leave() { Shared.Leaving = true; }
+  void beginLeaving() { Shared.Leaving = true; }
 
   /** Refuses new requests from now on, as not executed. */
-  void refuseNew() { Shared.RefusingNew = true; }
+  void refuseNewRequests() { Shared.RefusingNew = true; }
 
   /** Latency histograms. @return The histograms. */
   const TrafficMetrics &timings() const { return Shared.Timings; }
 
   /** Number of open requests. @return Requests without a final response. */
-  uint32_t open() const { return Shared.OpenRequests; }
+  uint32_t countOpenRequests() const { return Shared.OpenRequests; }
 
   /** Counters of events. @return The counters. */
   const ForwardCounters &counters() const { return Shared.Counters; }
--- a/packages/ports/src/engine_port.h
+++ b/packages/ports/src/engine_port.h
@@ -19,7 +19,7 @@
   /** Called when the engine has accepted an order. Fails when the staged chunks
    * are no longer those that were verified before the order; otherwise chunks
    * of other versions may be staged again. */
-  std::function<Result<void>()> Taken;
+  std::function<Result<void>()> OnAccepted;
 };
 
 /** A model engine. All calls block and may be made from several threads. */
@@ -61,7 +61,7 @@
    * @param Chunk Which chunk.
    * @return Its bytes, NotFound, or Unreachable.
    */
-  virtual Result<std::string> staged(const ChunkRef &Chunk) = 0;
+  virtual Result<std::string> readStagedContent(const ChunkRef &Chunk) = 0;
 
   /**
    * Loads a staged set; returns when it is loaded.
--- a/packages/ports/src/wire_port.h
+++ b/packages/ports/src/wire_port.h
@@ -49,7 +49,7 @@
    * Gives the names of the headers.
    * @return The names, the same for each call.
    */
-  virtual const HeaderNames &names() const = 0;
+  virtual const HeaderNames &headerNames() const = 0;
 
   /**
    * Parses a query for the addresses of entries.
@@ -65,7 +65,7 @@
    * @param Keep How long callers may cache the answer.
    * @return JSON text of the body.
    */
-  virtual std::string directoryAnswer(const std::vector<Address> &Entries,
+  virtual std::string formatDirectoryAnswer(const std::vector<Address> &Entries,
                                       Millis Keep) const = 0;
 
   /**
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -27,13 +27,13 @@
 struct Fixture {
   Fixture() {
     Gate.Limits = {16, 2, 4, 6};
-    turnCold(Gate);
+    applyColdLimit(Gate);
   }
   /** Runs attempts to completion, one after the other. */
   void complete(int Runs, Millis Took = Millis{100}) {
     for (int n = 0; n < Runs; ++n) {
       askToRun(Gate, makeRequest(1000 + n));
-      runEnded(Gate, AttemptId{"any"}, RunEnd::Whole, Took);
+      runEnded(Gate, AttemptId{"any"}, RunEnd::Complete, Took);
     }
   }
   Admission Gate;
@@ -47,7 +47,7 @@
   complete(5);
   BOOST_TEST(Gate.Limit == 2U);
   askToRun(Gate, makeRequest(1));
-  runEnded(Gate, AttemptId{"1"}, RunEnd::CutOff, Millis{100});
+  runEnded(Gate, AttemptId{"1"}, RunEnd::Abandoned, Millis{100});
   BOOST_TEST(Gate.Limit == 2U);
   backEndReported(Gate, 0, false, false);
   complete(1);
@@ -69,7 +69,7 @@
 
 BOOST_AUTO_TEST_CASE(RunsOfAFormerAgentAreCounted) {
   backEndReported(Gate, 3, false, true);
-  BOOST_TEST((askToRun(Gate, makeRequest(1)).May == Admitted::Wait));
+  BOOST_TEST((askToRun(Gate, makeRequest(1)).Decision == Admitted::Wait));
   backEndReported(Gate, 2, false, false);
   BOOST_TEST(!nextToRun(Gate));
   backEndReported(Gate, 1, false, false);
@@ -100,12 +100,12 @@
   for (int n = 0; n < 16; ++n)
     askToRun(Gate, makeRequest(n));
   askToRun(Gate, makeRequest(99));
-  turnCold(Gate);
+  applyColdLimit(Gate);
   for (int n = 0; n < 14; ++n) {
-    runEnded(Gate, AttemptId{std::to_string(n)}, RunEnd::Whole, Millis{100});
+    runEnded(Gate, AttemptId{std::to_string(n)}, RunEnd::Complete, Millis{100});
     BOOST_TEST(!nextToRun(Gate));
   }
-  runEnded(Gate, AttemptId{"14"}, RunEnd::Whole, Millis{100});
+  runEnded(Gate, AttemptId{"14"}, RunEnd::Complete, Millis{100});
   BOOST_TEST(nextToRun(Gate)->Value == "99");
   BOOST_TEST(Gate.Limit == 2U);
 }
@@ -116,11 +116,11 @@
     askToRun(Gate, makeRequest(n));
   Admittee Hurried = makeRequest(2);
   Hurried.Remaining = Millis{900};
-  BOOST_TEST((askToRun(Gate, Hurried).May == Admitted::Refuse));
+  BOOST_TEST((askToRun(Gate, Hurried).Decision == Admitted::Refuse));
   for (int n = 3; n < 7; ++n)
-    BOOST_TEST((askToRun(Gate, makeRequest(n)).May == Admitted::Wait));
+    BOOST_TEST((askToRun(Gate, makeRequest(n)).Decision == Admitted::Wait));
   const AdmissionAnswer Full = askToRun(Gate, makeRequest(7));
-  BOOST_TEST((Full.May == Admitted::Refuse));
+  BOOST_TEST((Full.Decision == Admitted::Refuse));
   // Five attempts to start, two at a time, one second each.
   BOOST_TEST(Full.RetryAfter.count() == 2500);
 }
@@ -130,13 +130,13 @@
   askToRun(Gate, makeRequest(1));
   Admittee Suspect = makeRequest(2);
   Suspect.Alone = true;
-  BOOST_TEST((askToRun(Gate, Suspect).May == Admitted::Wait));
-  BOOST_TEST((askToRun(Gate, makeRequest(3)).May == Admitted::Wait));
+  BOOST_TEST((askToRun(Gate, Suspect).Decision == Admitted::Wait));
+  BOOST_TEST((askToRun(Gate, makeRequest(3)).Decision == Admitted::Wait));
   BOOST_TEST(!nextToRun(Gate));
-  runEnded(Gate, AttemptId{"1"}, RunEnd::Whole, Millis{1});
+  runEnded(Gate, AttemptId{"1"}, RunEnd::Complete, Millis{1});
   BOOST_TEST(nextToRun(Gate)->Value == "2");
   BOOST_TEST(!nextToRun(Gate));
-  runEnded(Gate, AttemptId{"2"}, RunEnd::Whole, Millis{1});
+  runEnded(Gate, AttemptId{"2"}, RunEnd::Complete, Millis{1});
   BOOST_TEST(nextToRun(Gate)->Value == "3");
 }
 
--- a/tests/unit/attempt_recovery_test.cpp
+++ b/tests/unit/attempt_recovery_test.cpp
@@ -17,8 +17,8 @@
 /** Drives the engine's side of the attempt that was sent to an engine last. */
 struct RunDriver {
   Mesh &All;
-  std::string Agent = All.Runs.back().first;
-  AttemptId Which = All.Runs.back().second.Attempt;
+  std::string Agent = All.EngineRequests.back().first;
+  AttemptId Which = All.EngineRequests.back().second.Attempt;
 
   /** Reports that the engine has begun the attempt. */
   void begin() const {
@@ -44,7 +44,7 @@
   /** Performs the agent's effects and delivers the resulting messages. */
   void deliverEffects(const Effects &Out) const {
     All.perform(Agent, Out);
-    All.pump();
+    All.deliverAll();
   }
 };
 
@@ -56,19 +56,19 @@
 BOOST_AUTO_TEST_CASE(SilentLinkInMidStreamLosesNoFrames) {
   for (const int Before : {0, 1, 2, 3}) {
     Mesh All(1, 2, 0);
-    const uint64_t Call = All.ask("e0", "reports");
+    const uint64_t Call = All.sendRequest("e0", "reports");
     const RunDriver Driver{All};
-    auto &Wire = All.wire("e0", Driver.Agent);
+    auto &Wire = All.findWire("e0", Driver.Agent);
     for (int n = 0; n < 4; ++n) {
       Wire.Held = n >= Before;
       n == 0 ? Driver.begin() : Driver.token(std::to_string(n));
     }
     Wire.Held = true;
     Driver.end(3);
-    All.pass(milliseconds(4500));
+    All.advanceTime(milliseconds(4500));
     BOOST_TEST(All.Finals[Call].Whole);
     BOOST_TEST(All.Finals[Call].Text == "123");
-    BOOST_TEST(All.Runs.size() == 1U);
+    BOOST_TEST(All.EngineRequests.size() == 1U);
     BOOST_TEST(All.Entries["e0"].Counters.Recovered == 1U);
   }
 }
@@ -78,23 +78,23 @@
 // arrives after all, it must not run, as the entry relies on that answer.
 BOOST_AUTO_TEST_CASE(StartThatArrivesAfterAQueryDoesNotRun) {
   Mesh All(1, 2, 0);
-  All.wire("e0", "m0").Held = All.wire("e0", "m1").Held = true;
-  const uint64_t Call = All.ask("e0", "reports");
-  BOOST_TEST(All.Runs.empty());
+  All.findWire("e0", "m0").Held = All.findWire("e0", "m1").Held = true;
+  const uint64_t Call = All.sendRequest("e0", "reports");
+  BOOST_TEST(All.EngineRequests.empty());
   const HostName Worker =
       All.Entries["e0"].Calls.begin()->second.Attempt.Worker;
-  All.wire("e0", Worker.Value == "m0" ? "m1" : "m0").Held = false;
+  All.findWire("e0", Worker.Value == "m0" ? "m1" : "m0").Held = false;
   AttemptStart Late;
   for (auto &Wire : All.Wires)
     for (const auto &[Forward, m] : Wire.Queue)
       if (const auto *Start = std::get_if<AttemptStart>(&m))
         Late = *Start;
-  All.pass(milliseconds(4500));
-  BOOST_REQUIRE(All.Runs.size() == 1U);
-  BOOST_TEST(All.Runs[0].second.Attempt.Value != Late.Attempt.Value);
-  All.deliver(Worker.Value, All.wire("e0", Worker.Value).ToEnd, Late);
-  All.pass(milliseconds(200));
-  BOOST_TEST(All.Runs.size() == 1U);
+  All.advanceTime(milliseconds(4500));
+  BOOST_REQUIRE(All.EngineRequests.size() == 1U);
+  BOOST_TEST(All.EngineRequests[0].second.Attempt.Value != Late.Attempt.Value);
+  All.deliver(Worker.Value, All.findWire("e0", Worker.Value).ToEnd, Late);
+  All.advanceTime(milliseconds(200));
+  BOOST_TEST(All.EngineRequests.size() == 1U);
   BOOST_TEST(All.Agents[Worker.Value].Counters.RepeatedStarts == 1U);
   RunDriver{All}.begin();
   RunDriver{All}.token("a");
@@ -114,9 +114,9 @@
     };
     if (!AfterEnd)
       All.SlowServices.insert("s0");
-    All.ask("e0", "status");
-    All.deliver("s0", All.wire("e0", "s0").ToEnd, Seen);
-    BOOST_TEST(All.Records.size() == 1U);
+    All.sendRequest("e0", "status");
+    All.deliver("s0", All.findWire("e0", "s0").ToEnd, Seen);
+    BOOST_TEST(All.ServiceCalls.size() == 1U);
     BOOST_TEST(All.Agents["s0"].Counters.RepeatedStarts == 1U);
   }
 }
@@ -135,9 +135,9 @@
   for (const auto &[Order, Whole] : Orders) {
     BOOST_TEST_CONTEXT(Order) {
       Mesh All(1, 1, 0);
-      const uint64_t Call = All.ask("e0", "reports");
-      const AttemptId Which = All.Runs.back().second.Attempt;
-      const LinkId End = All.wire("e0", "m0").FromEnd;
+      const uint64_t Call = All.sendRequest("e0", "reports");
+      const AttemptId Which = All.EngineRequests.back().second.Attempt;
+      const LinkId End = All.findWire("e0", "m0").FromEnd;
       const std::string Text = "wxyz";
       for (const char c : Order) {
         Message m = AttemptBegun{Which, All.Agents["m0"].Weights.Loaded};
@@ -161,9 +161,9 @@
 // its own answer.
 BOOST_AUTO_TEST_CASE(InterleavedAnswersStayApart) {
   Mesh All(1, 1, 0);
-  const uint64_t First = All.ask("e0", "reports", "", "", "1");
+  const uint64_t First = All.sendRequest("e0", "reports", "", "", "1");
   const RunDriver A{All};
-  const uint64_t Second = All.ask("e0", "reports", "", "", "2");
+  const uint64_t Second = All.sendRequest("e0", "reports", "", "", "2");
   const RunDriver B{All};
   A.begin();
   B.begin();
@@ -181,14 +181,14 @@
 BOOST_AUTO_TEST_CASE(RefusalAfterALostAttemptDoesNotMeanNotRun) {
   Mesh All(1, 0, 2);
   All.SlowServices = {"s0", "s1"};
-  const uint64_t Call = All.ask("e0", "status");
-  BOOST_REQUIRE(All.Records.size() == 1U);
-  const std::string First = All.Records[0].first;
+  const uint64_t Call = All.sendRequest("e0", "status");
+  BOOST_REQUIRE(All.ServiceCalls.size() == 1U);
+  const std::string First = All.ServiceCalls[0].first;
   const std::string Other = First == "s0" ? "s1" : "s0";
   Effects Out;
   agentStop(All.Agents[Other], All.Now, Out);
   All.kill(First);
-  All.pass(milliseconds(3000));
+  All.advanceTime(milliseconds(3000));
   BOOST_REQUIRE(All.Finals.contains(Call));
   BOOST_TEST((All.Finals[Call].Executed == Ran::Unknown));
 }
@@ -221,22 +221,22 @@
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits.Warm = Agent.Gate.Limit = 8;
-  Agent.Gate.Pace.Warm = milliseconds(10);
+  Agent.Gate.Pace.WarmGap = milliseconds(10);
   for (int n = 0; n < 2; ++n) {
-    All.ask("e0", "reports");
+    All.sendRequest("e0", "reports");
     const RunDriver Driver{All};
     Driver.begin();
     Driver.token("a");
   }
-  BOOST_TEST(All.Runs.size() == 2U);
+  BOOST_TEST(All.EngineRequests.size() == 2U);
   All.Now += milliseconds(60);
-  All.ask("e0", "reports");
-  BOOST_TEST(All.Runs.size() == 2U);
+  All.sendRequest("e0", "reports");
+  BOOST_TEST(All.EngineRequests.size() == 2U);
   const RunDriver Last{All};
   Last.token("b");
   Last.end(2);
-  All.pass(milliseconds(300));
-  BOOST_TEST(All.Runs.size() == 3U);
+  All.advanceTime(milliseconds(300));
+  BOOST_TEST(All.EngineRequests.size() == 3U);
 }
 
 // An engine turns cold without reporting it. Answers whose last token was
@@ -250,25 +250,25 @@
   Mesh All(1, 1, 0);
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits.Warm = Agent.Gate.Limit = Running;
-  Agent.Gate.Pace.Warm = milliseconds(10);
+  Agent.Gate.Pace.WarmGap = milliseconds(10);
   std::vector<RunDriver> Drivers;
   for (size_t n = 0; n < Running; ++n) {
-    All.ask("e0", "reports", "", "", std::to_string(n));
+    All.sendRequest("e0", "reports", "", "", std::to_string(n));
     Drivers.push_back(RunDriver{All});
     Drivers.back().begin();
     Drivers.back().token("a");
   }
   for (size_t n = 0; n < Waiting; ++n)
-    All.ask("e0", "reports", "", "", "w" + std::to_string(n));
-  BOOST_REQUIRE(All.Runs.size() == Running);
+    All.sendRequest("e0", "reports", "", "", "w" + std::to_string(n));
+  BOOST_REQUIRE(All.EngineRequests.size() == Running);
   All.Now += milliseconds(12);
   for (size_t n = 0; n < OnTime; ++n)
     Drivers[n].end(1);
-  BOOST_TEST(All.Runs.size() == Running + OnTime);
+  BOOST_TEST(All.EngineRequests.size() == Running + OnTime);
   All.Now += milliseconds(29);
   for (size_t n = OnTime; n < OnTime + 2; ++n)
     Drivers[n].end(1);
-  BOOST_TEST(All.Runs.size() == Running + OnTime);
+  BOOST_TEST(All.EngineRequests.size() == Running + OnTime);
 }
 
 // A cold engine has completed enough requests for a trial of twice the limit,
@@ -281,9 +281,9 @@
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits = {16, Cold, 32, 8};
   Agent.Gate.Limit = Cold;
-  Agent.Gate.Pace.Warm = milliseconds(10);
+  Agent.Gate.Pace.WarmGap = milliseconds(10);
   auto Ask = [&, n = 0]() mutable {
-    All.ask("e0", "reports", "", "", std::to_string(n++));
+    All.sendRequest("e0", "reports", "", "", std::to_string(n++));
   };
   Ask();
   const RunDriver Older{All};
@@ -305,16 +305,16 @@
   }
   for (uint32_t n = 0; n < Cold; ++n)
     Ask();
-  const size_t Before = All.Runs.size();
+  const size_t Before = All.EngineRequests.size();
   All.Now += milliseconds(100);
   Older.token("b");
   Older.end(2);
-  BOOST_TEST(All.Runs.size() == Before + 1);
+  BOOST_TEST(All.EngineRequests.size() == Before + 1);
   for (const RunDriver &One : Trial)
     One.token("a");
   All.Now += milliseconds(41);
   Trial.front().end(1);
-  BOOST_TEST(All.Runs.size() == Before + 1);
+  BOOST_TEST(All.EngineRequests.size() == Before + 1);
 }
 
 // An engine turns cold between two ticks, and its first slow tokens arrive just
@@ -327,21 +327,21 @@
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits = {Running, 2, 32, 8};
   Agent.Gate.Limit = Running;
-  Agent.Gate.Pace.Warm = milliseconds(10);
+  Agent.Gate.Pace.WarmGap = milliseconds(10);
   std::vector<RunDriver> Drivers;
   for (size_t n = 0; n < Running; ++n) {
-    All.ask("e0", "reports", "", "", std::to_string(n));
+    All.sendRequest("e0", "reports", "", "", std::to_string(n));
     Drivers.push_back(RunDriver{All});
     Drivers.back().begin();
     Drivers.back().token("a");
   }
-  All.ask("e0", "reports", "", "", "waits");
-  BOOST_REQUIRE(All.Runs.size() == Running);
+  All.sendRequest("e0", "reports", "", "", "waits");
+  BOOST_REQUIRE(All.EngineRequests.size() == Running);
   All.Now += milliseconds(100);
   for (const RunDriver &One : Drivers)
     One.token("b");
   Drivers.front().end(2);
-  BOOST_TEST(All.Runs.size() == Running);
+  BOOST_TEST(All.EngineRequests.size() == Running);
   BOOST_TEST(Agent.Gate.Limit == 2U);
 }
 
@@ -352,10 +352,10 @@
   AgentState &Agent = All.Agents.begin()->second;
   Agent.Gate.Limits = {16, 2, 32, 8};
   Agent.Gate.Limit = 16;
-  Agent.Gate.Pace.Warm = milliseconds(10);
+  Agent.Gate.Pace.WarmGap = milliseconds(10);
   std::vector<RunDriver> Drivers;
   for (size_t n = 0; n < 4; ++n) {
-    All.ask("e0", "reports", "", "", std::to_string(n));
+    All.sendRequest("e0", "reports", "", "", std::to_string(n));
     Drivers.push_back(RunDriver{All});
     Drivers.back().begin();
     Drivers.back().token("a");
--- a/tests/unit/config_spread_test.cpp
+++ b/tests/unit/config_spread_test.cpp
@@ -16,90 +16,90 @@
 // version 4 must not serve before it has asked them: it would send requests to
 // a domain that was taken out.
 BOOST_AUTO_TEST_CASE(ANewEntryServesNoOlderVersionThanItsPeers) {
-  read(document(3));
-  pass(Millis{100});
+  receiveConfig(document(3));
+  advanceClock(Millis{100});
   BOOST_TEST(!fresh());
-  const LinkId Peer = greet("b", 4, true);
-  push(Peer, "", true);
-  pass(Millis{2000});
+  const LinkId Peer = connectPeer("b", 4, true);
+  receiveDocument(Peer, "", true);
+  advanceClock(Millis{2000});
   BOOST_TEST(!fresh());
-  push(Peer, document(4), true);
-  pass(Millis{100});
+  receiveDocument(Peer, document(4), true);
+  advanceClock(Millis{100});
   BOOST_TEST(version() == 4U);
   BOOST_TEST(fresh());
 }
 
 BOOST_AUTO_TEST_CASE(WithoutPeersTheServiceIsEnoughAfterTheWait) {
-  read(document(3));
-  pass(Millis{1400});
+  receiveConfig(document(3));
+  advanceClock(Millis{1400});
   BOOST_TEST(!fresh());
-  pass(Millis{200});
+  advanceClock(Millis{200});
   BOOST_TEST(fresh());
 }
 
 BOOST_AUTO_TEST_CASE(TheVersionInForceNeverGoesBack) {
-  read(document(5));
-  joinAll(5);
-  read(document(4));
-  push(linkOf("b"), document(3), true);
-  read(document(5, "other"));
-  read("{\"version\": 9, \"nonsense\": 1}");
-  read("\xff garbage");
+  receiveConfig(document(5));
+  connectAllPeers(5);
+  receiveConfig(document(4));
+  receiveDocument(linkOf("b"), document(3), true);
+  receiveConfig(document(5, "other"));
+  receiveConfig("{\"version\": 9, \"nonsense\": 1}");
+  receiveConfig("\xff garbage");
   BOOST_TEST(version() == 5U);
   BOOST_TEST(State.View.Conflicts == 1U);
   BOOST_TEST(State.View.Refused == 2U);
-  read(document(6));
+  receiveConfig(document(6));
   BOOST_TEST(version() == 6U);
 }
 
 // A document of up to 1 MB must not be pulled from each peer that reports it:
 // the copies would fill every entry's links whenever a version is published.
 BOOST_AUTO_TEST_CASE(ADocumentIsPulledFromOnePeerAtATime) {
-  read(document(5));
-  joinAll(5);
+  receiveConfig(document(5));
+  connectAllPeers(5);
   Out.clear();
   Heartbeat Beat;
   Beat.Version.Value = 6;
   for (const char *Name : {"b", "c", "e"}) {
     ++Beat.Sequence;
-    hear(Name, Beat);
+    receiveMessage(Name, Beat);
   }
   BOOST_TEST(pullsSent() == 1U);
-  pass(Millis{900});
+  advanceClock(Millis{900});
   BOOST_TEST(pullsSent() == 1U);
-  pass(Millis{200}); // The peer is silent: pulls from another one.
+  advanceClock(Millis{200}); // The peer is silent: pulls from another one.
   BOOST_TEST(pullsSent() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(ADocumentIsPulledFromTheOwnDomainFirst) {
   // When each process pulls from the first peer that reports a version, often
   // one of another region, documents are most of the traffic between regions.
-  read(document(5));
-  joinAll(5);
+  receiveConfig(document(5));
+  connectAllPeers(5);
   BOOST_REQUIRE(fresh());
   State.Fleet.Links.at(linkOf("b")).Peer.Domain.Value = "far";
   Out.clear();
-  Heartbeat Beat = beat("b");
+  Heartbeat Beat = nextHeartbeat("b");
   Beat.Version.Value = 6;
-  hear("b", Beat);
+  receiveMessage("b", Beat);
   BOOST_TEST(pullsSent() == 0U);
-  pass(Millis{50});
-  Heartbeat Near = beat("c");
+  advanceClock(Millis{50});
+  Heartbeat Near = nextHeartbeat("c");
   Near.Version.Value = 6;
-  hear("c", Near);
+  receiveMessage("c", Near);
   BOOST_TEST(pullsSent() == 1U);
   BOOST_TEST((State.Fleet.Pull.Link == linkOf("c")));
 }
 
 BOOST_AUTO_TEST_CASE(ADocumentIsPulledFromAnotherDomainAfterAWait) {
-  read(document(5));
-  joinAll(5);
+  receiveConfig(document(5));
+  connectAllPeers(5);
   State.Fleet.Links.at(linkOf("b")).Peer.Domain.Value = "far";
   Out.clear();
-  Heartbeat Beat = beat("b");
+  Heartbeat Beat = nextHeartbeat("b");
   Beat.Version.Value = 6;
-  hear("b", Beat);
-  pass(Millis{150});
+  receiveMessage("b", Beat);
+  advanceClock(Millis{150});
   BOOST_TEST(pullsSent() == 1U);
   BOOST_TEST((State.Fleet.Pull.Link == linkOf("b")));
 }
@@ -108,35 +108,35 @@
   // After an outage of the service its readers may still be backing off. An
   // entry that reads in their place must go on until they are answered; if it
   // stopped at its own first answer, nobody would read for seconds.
-  read(document(5));
-  joinAll(5);
+  receiveConfig(document(5));
+  connectAllPeers(5);
   BOOST_TEST(isReader(State.View, State.Fleet));
   for (const char *Name : {"b", "c", "e"}) {
-    Heartbeat Beat = beat(Name);
-    Beat.Service = true;
-    hear(Name, Beat);
+    Heartbeat Beat = nextHeartbeat(Name);
+    Beat.ReachesConfigService = true;
+    receiveMessage(Name, Beat);
   }
   const std::vector<HostName> Order =
       readerOrder(State.View.InForce->Entries, DomainName{"d"});
   const auto Self = std::ranges::find(Order, HostName{"a"});
   const size_t Rank = static_cast<size_t>(Self - Order.begin());
   BOOST_TEST(isReader(State.View, State.Fleet) == (Rank < ReadersPerDomain));
-  pass(Millis{2600}); // All peers are silent: their links are closed.
+  advanceClock(Millis{2600}); // All peers are silent: their links are closed.
   BOOST_TEST(isReader(State.View, State.Fleet));
 }
 
 // A service that has gone back to an older version answers every read at once.
 // Without back-off it would get thousands of reads per second.
 BOOST_AUTO_TEST_CASE(ReadsBackOffAfterUnusableAnswers) {
-  read(document(5));
-  joinAll(5);
+  receiveConfig(document(5));
+  connectAllPeers(5);
   Millis Before{-1};
   for (int n = 0; n < 4; ++n) {
     State.Fleet.Joining.Fresh = false; // Makes it a reader of any rank.
     const Millis Delay = nextRead(State.View, State.Fleet, 1).Delay;
     BOOST_TEST(Delay.count() > Before.count());
     Before = Delay;
-    read(document(4));
+    receiveConfig(document(4));
   }
 }
 
--- a/tests/unit/fleet_snapshot_test.cpp
+++ b/tests/unit/fleet_snapshot_test.cpp
@@ -38,8 +38,8 @@
   // no links on resuming, takes that for an outage of the list, and uses the
   // server for two more seconds as it does after an outage.
   OneEntry Fixture;
-  Fixture.read(document(5));
-  Fixture.joinAll(5);
+  Fixture.receiveConfig(document(5));
+  Fixture.connectAllPeers(5);
   BOOST_REQUIRE(Fixture.fresh());
   BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
   Fixture.Now += Millis(5000);
@@ -56,7 +56,7 @@
   const FleetSnapshot Starting = fleetSnapshot(Fixture.State, Fixture.Now);
   BOOST_TEST(!Starting.Ready);
   BOOST_TEST((Starting.ReadyBy > Fixture.Now));
-  Fixture.pass(Millis(3000));
+  Fixture.advanceClock(Millis(3000));
   const FleetSnapshot Alone = fleetSnapshot(Fixture.State, Fixture.Now);
   BOOST_TEST(!Alone.Ready);
   BOOST_TEST((Alone.ReadyBy < Fixture.Now));
@@ -65,12 +65,12 @@
 BOOST_AUTO_TEST_CASE(
     AConfigurationServiceThatAnswersNoEntryIsAnOutageOfTheList) {
   OneEntry Fixture;
-  Fixture.read(document(5));
-  Fixture.joinAll(5);
+  Fixture.receiveConfig(document(5));
+  Fixture.connectAllPeers(5);
   for (int n = 0; n < 10; ++n) {
     for (const char *Name : {"b", "c", "e", "w"})
-      Fixture.hear(Name, Fixture.beat(Name));
-    Fixture.pass(Millis(500));
+      Fixture.receiveMessage(Name, Fixture.nextHeartbeat(Name));
+    Fixture.advanceClock(Millis(500));
   }
   BOOST_REQUIRE(Fixture.fresh());
   BOOST_TEST(fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -17,7 +17,7 @@
     GuardedServer Server(adminLimits());
     std::thread Accepting;
     BOOST_REQUIRE(!startServer(Server, "127.0.0.1:0", Accepting).empty());
-    Server.finish(Accepting);
+    Server.drainAndStop(Accepting);
     BOOST_TEST(!Accepting.joinable());
   }
 }
--- a/tests/unit/keyed_interleavings_test.cpp
+++ b/tests/unit/keyed_interleavings_test.cpp
@@ -64,7 +64,7 @@
     All.Doc["version"] = 2;
     All.publish();
     // Beyond the retry horizon, so that calls without a token are run.
-    All.pass(milliseconds(30000));
+    All.advanceTime(milliseconds(30000));
     if (WithToken)
       Token = makeHomeToken(All.Entries.at("e0"), ClassName{"bookings"});
     Key = findMovingKey();
@@ -94,13 +94,13 @@
 
   /** Makes the services answer all calls that live agents wait for. */
   void answerAll() {
-    for (size_t n = 0; n < All.Records.size(); ++n) {
-      const auto [Agent, Call] = All.Records[n];
+    for (size_t n = 0; n < All.ServiceCalls.size(); ++n) {
+      const auto [Agent, Call] = All.ServiceCalls[n];
       const bool Here = !All.Dead.contains(Agent) &&
                         !All.Paused.contains(Agent) &&
                         All.Agents.at(Agent).Attempts.contains(Call.Attempt);
       if (Here && Answered.insert(Call.Attempt).second)
-        All.answer(Agent, Call.Attempt);
+        All.answerServiceCall(Agent, Call.Attempt);
     }
   }
 
@@ -121,10 +121,10 @@
       All.Paused.insert(Home);
       return;
     case FaultKind::WireCut:
-      All.cut(All.wire("e0", Home));
+      All.cut(All.findWire("e0", Home));
       return;
     case FaultKind::WireSilent:
-      All.wire("e0", Home).Held = true;
+      All.findWire("e0", Home).Held = true;
       return;
     case FaultKind::EntryDies:
       All.kill("e0");
@@ -161,18 +161,18 @@
     if (FaultStage == Stage::BeforeSend)
       injectFault(Injected);
     if (FaultStage == Stage::StartOnWire)
-      All.wire("e0", Home).Held = true;
+      All.findWire("e0", Home).Held = true;
     if (FaultStage == Stage::Queued)
       All.Agents.at(Home).Gate.Limit = 0;
     if (!All.Dead.contains("e0"))
-      All.ask("e0", "bookings", Key, Token);
+      All.sendRequest("e0", "bookings", Key, Token);
     if (FaultStage == Stage::StartOnWire)
       injectFaultThenDeliver(Injected);
     if (FaultStage == Stage::Queued || FaultStage == Stage::Running)
       injectFault(Injected);
     All.Agents.at(Home).Gate.Limit = 16;
     if (FaultStage == Stage::EndOnWire)
-      All.wire("e0", Home).Held = true;
+      All.findWire("e0", Home).Held = true;
     if (FaultStage == Stage::EndOnWire || FaultStage == Stage::Done)
       answerAll();
     if (FaultStage == Stage::EndOnWire)
@@ -183,10 +183,10 @@
 
   /** Injects the fault while the wire holds a message, then delivers it. */
   void injectFaultThenDeliver(FaultKind Injected) {
-    auto &Wire = All.wire("e0", Home);
+    auto &Wire = All.findWire("e0", Home);
     injectFault(Injected);
     Wire.Held = Injected == FaultKind::WireSilent;
-    All.pump();
+    All.deliverAll();
   }
 
   /** Repeats the key as docs/CALLERS.md asks for; true when an answer came. */
@@ -196,9 +196,9 @@
         endFault(Injected);
       const std::string Entry =
           All.Dead.contains("e0") || n % 2 == 0 ? "e1" : "e0";
-      const uint64_t Id = All.ask(Entry, "bookings", Key, Token);
+      const uint64_t Id = All.sendRequest(Entry, "bookings", Key, Token);
       answerAll();
-      All.pass(milliseconds(700));
+      All.advanceTime(milliseconds(700));
       answerAll();
       if (!All.Finals.contains(Id))
         continue;
@@ -206,11 +206,11 @@
       if (End.Whole)
         return true;
       if (End.Executed == Ran::No)
-        BOOST_TEST(All.Records.empty(), "reported as not run, but it ran");
+        BOOST_TEST(All.ServiceCalls.empty(), "reported as not run, but it ran");
       if (!End.Token.empty())
         Token = End.Token;
     }
-    All.pass(milliseconds(20000));
+    All.advanceTime(milliseconds(20000));
     answerAll();
     return false;
   }
@@ -235,7 +235,7 @@
           if (!Answer)
             BOOST_TEST_MESSAGE("unanswered: " << StageNames.at(w) << ", "
                                               << FaultNames.at(f));
-          BOOST_TEST(One.All.Records.size() <= 1U);
+          BOOST_TEST(One.All.ServiceCalls.size() <= 1U);
         }
     BOOST_TEST_MESSAGE((WithToken ? "token: " : "no token: ")
                        << Answers << " of " << Count << " answered");
@@ -270,13 +270,13 @@
     Mesh All(1, 0, 1);
     const std::string Token =
         makeHomeToken(All.Entries.at("e0"), ClassName{"bookings"});
-    All.ask("e0", "bookings", "k", Token);
-    BOOST_TEST(All.Records.size() == 1U);
+    All.sendRequest("e0", "bookings", "k", Token);
+    BOOST_TEST(All.ServiceCalls.size() == 1U);
     All.Now += std::chrono::minutes(Minutes);
-    All.pass(milliseconds(3000));
-    All.ask("e0", "bookings", "k", Token);
-    All.pass(milliseconds(3000));
-    BOOST_TEST(All.Records.size() == 1U);
+    All.advanceTime(milliseconds(3000));
+    All.sendRequest("e0", "bookings", "k", Token);
+    All.advanceTime(milliseconds(3000));
+    BOOST_TEST(All.ServiceCalls.size() == 1U);
   }
 }
 
@@ -287,13 +287,13 @@
   All.SlowServices = {"s0"};
   const std::string Token =
       makeHomeToken(All.Entries.at("e0"), ClassName{"bookings"});
-  All.ask("e0", "bookings", "k", Token, "1");
-  const uint64_t Early = All.ask("e0", "bookings", "k", Token, "2");
-  All.answer("s0", All.Records.at(0).second.Attempt);
-  const uint64_t Late = All.ask("e0", "bookings", "k", Token, "2");
+  All.sendRequest("e0", "bookings", "k", Token, "1");
+  const uint64_t Early = All.sendRequest("e0", "bookings", "k", Token, "2");
+  All.answerServiceCall("s0", All.ServiceCalls.at(0).second.Attempt);
+  const uint64_t Late = All.sendRequest("e0", "bookings", "k", Token, "2");
   for (const uint64_t Id : {Early, Late})
     BOOST_TEST((All.Finals.at(Id).Kind == ErrorKind::KeyConflict));
-  BOOST_TEST(All.Records.size() == 1U);
+  BOOST_TEST(All.ServiceCalls.size() == 1U);
 }
 
 // More answers come than a home may store: the oldest answers are dropped, but
@@ -327,15 +327,15 @@
   Home.Gate.Limit = 1;
   const std::string Token =
       makeHomeToken(All.Entries.at("e0"), ClassName{"bookings"});
-  All.ask("e0", "bookings", "first", Token);
-  BOOST_REQUIRE(All.Records.size() == 1U);
-  const uint64_t Refused = All.ask("e0", "bookings", "k", Token);
+  All.sendRequest("e0", "bookings", "first", Token);
+  BOOST_REQUIRE(All.ServiceCalls.size() == 1U);
+  const uint64_t Refused = All.sendRequest("e0", "bookings", "k", Token);
   BOOST_TEST((All.Finals[Refused].Executed == Ran::No));
   BOOST_TEST(All.Finals[Refused].Token != Token);
   All.SlowServices.clear();
-  All.answer("s0", All.Records.front().second.Attempt);
+  All.answerServiceCall("s0", All.ServiceCalls.front().second.Attempt);
   const uint64_t Again =
-      All.ask("e0", "bookings", "k", All.Finals[Refused].Token);
+      All.sendRequest("e0", "bookings", "k", All.Finals[Refused].Token);
   BOOST_TEST(All.Finals[Again].Whole);
-  BOOST_TEST(All.Records.size() == 2U);
+  BOOST_TEST(All.ServiceCalls.size() == 2U);
 }
--- a/tests/unit/leaving_entry_test.cpp
+++ b/tests/unit/leaving_entry_test.cpp
@@ -24,11 +24,11 @@
     Effects Out;
     entryStop(All.Entries.at("e0"), All.Now, HomeQueryTime, Out);
     All.perform("e0", Out);
-    All.pump();
+    All.deliverAll();
   }
   /** Sends a keyed call and gives its final result. */
   Final book(const std::string &Entry, const std::string &With) {
-    return All.Finals[All.ask(Entry, "bookings", "k", With)];
+    return All.Finals[All.sendRequest(Entry, "bookings", "k", With)];
   }
 
   Mesh All{2, 0, 1};
@@ -47,14 +47,14 @@
   const Final Refused = book("e0", Token);
   BOOST_TEST((Refused.Kind == ErrorKind::Leaving));
   BOOST_TEST((Refused.Executed == Ran::No));
-  BOOST_TEST(All.Records.empty());
+  BOOST_TEST(All.ServiceCalls.empty());
   // It stays not run: the home refuses the key with the old token at any entry.
   const Final Old = book("e1", Token);
   BOOST_TEST((Old.Executed == Ran::No));
-  BOOST_TEST(All.Records.empty());
+  BOOST_TEST(All.ServiceCalls.empty());
   BOOST_TEST(Refused.Token != Token);
   BOOST_TEST(book("e1", Refused.Token).Whole);
-  BOOST_TEST(All.Records.size() == 1U);
+  BOOST_TEST(All.ServiceCalls.size() == 1U);
 }
 
 // A repeat of a completed booking gets the stored answer from the home, also
@@ -67,7 +67,7 @@
   const Final Again = book("e0", Token);
   BOOST_TEST(Again.Whole);
   BOOST_TEST(Again.Text == First.Text);
-  BOOST_TEST(All.Records.size() == 1U);
+  BOOST_TEST(All.ServiceCalls.size() == 1U);
 }
 
 // A repeat comes while the first call runs. The entry waits a limited time for
@@ -75,16 +75,16 @@
 BOOST_AUTO_TEST_CASE(WaitingForARunningBookingIsBounded) {
   All.SlowServices = {"s0"};
   const std::string Token = token();
-  All.ask("e1", "bookings", "k", Token);
-  BOOST_REQUIRE(All.Records.size() == 1U);
+  All.sendRequest("e1", "bookings", "k", Token);
+  BOOST_REQUIRE(All.ServiceCalls.size() == 1U);
   stopEntry();
-  const uint64_t Repeat = All.ask("e0", "bookings", "k", Token);
+  const uint64_t Repeat = All.sendRequest("e0", "bookings", "k", Token);
   BOOST_TEST(!All.Finals.contains(Repeat));
-  All.pass(milliseconds(1100));
+  All.advanceTime(milliseconds(1100));
   BOOST_REQUIRE(All.Finals.contains(Repeat));
   BOOST_TEST((All.Finals[Repeat].Kind == ErrorKind::Leaving));
   BOOST_TEST((All.Finals[Repeat].Executed == Ran::Unknown));
-  BOOST_TEST(All.Records.size() == 1U);
+  BOOST_TEST(All.ServiceCalls.size() == 1U);
 }
 
 // When the home cannot be asked, or the time for asking is over, the entry
@@ -101,11 +101,11 @@
 BOOST_AUTO_TEST_CASE(AfterTheHomeQueryTimeTheOutcomeIsUnknown) {
   const std::string Token = token();
   stopEntry(milliseconds(300));
-  All.pass(milliseconds(300));
+  All.advanceTime(milliseconds(300));
   const Final Late = book("e0", Token);
   BOOST_TEST((Late.Kind == ErrorKind::Leaving));
   BOOST_TEST((Late.Executed == Ran::Unknown));
-  BOOST_TEST(All.Records.empty());
+  BOOST_TEST(All.ServiceCalls.empty());
 }
 
 // Without a token the home would refuse the key for seconds, and the caller
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -63,7 +63,7 @@
   std::string choose() {
     ServerNeeds Needs;
     Needs.Service.Value = "llm";
-    Needs.From = &TestRoute;
+    Needs.MatchedRoute = &TestRoute;
     const ServerChoice Choice = chooseServer(Pool, Needs, Now);
     return Choice.Server == nullptr ? "" : Choice.Server->Listed.Id.Value;
   }
--- a/tests/unit/mesh.h
+++ b/tests/unit/mesh.h
@@ -35,7 +35,7 @@
 };
 
 /** What a caller got in the end. */
-struct Final {
+struct FinalAnswer {
   std::string Text;                  ///< All parts of the answer, joined.
   bool Whole = false;                ///< The answer is complete.
   ErrorKind Kind = ErrorKind::Count; ///< Error of an incomplete answer.
@@ -51,11 +51,11 @@
   std::deque<Wire> Wires;
   std::set<std::string> Dead, Paused;
   std::vector<std::pair<std::string, ServiceCall>>
-      Records; ///< Calls to services, by agent.
+      ServiceCalls; ///< Calls to services, by agent.
   std::vector<std::pair<std::string, EngineRequest>>
-      Runs; ///< Requests to engines, by agent.
+      EngineRequests; ///< Requests to engines, by agent.
   std::map<uint64_t, std::string> Texts;
-  std::map<uint64_t, Final> Finals;
+  std::map<uint64_t, FinalAnswer> Finals;
   std::set<std::string> SlowServices; ///< Their calls get no answer.
   /** Called before each delivery; true: towards Wire::To. */
   std::function<void(Wire &, bool, const Message &)> OnDelivery;
@@ -139,15 +139,15 @@
       Entries[Name] = makeEntry(settingsOf(Name), Incarnation{NextRun++}, Now);
     }
     publish();
-    pass(Millis(1000));
+    advanceTime(Millis(1000));
     for (auto &[Name, Agent] : Agents)
       if (!Agent.Config.EngineUrl.empty())
-        warm(Name);
-    pass(Millis(1000));
+        reportWeightsLoaded(Name);
+    advanceTime(Millis(1000));
   }
 
   /** Makes an agent's engine report that the wanted weights are loaded. */
-  void warm(const std::string &Name) {
+  void reportWeightsLoaded(const std::string &Name) {
     AgentState &Agent = Agents[Name];
     EngineState State;
     State.Run = "run";
@@ -171,7 +171,7 @@
   }
 
   /** Sends a request to an entry; gives the number of the call. */
-  uint64_t ask(const std::string &Entry, const std::string &Class,
+  uint64_t sendRequest(const std::string &Entry, const std::string &Class,
                const std::string &Key = "", const std::string &Token = "",
                const std::string &Body = "{}") {
     CallRequest CallerRequest;
@@ -184,12 +184,12 @@
     Effects Out;
     entryCall(Entries.at(Entry), CallerRequest, Now, Out);
     perform(Entry, Out);
-    pump();
+    deliverAll();
     return CallerRequest.Call.Value;
   }
 
   /** Advances time tick by tick, and delivers messages after each. */
-  void pass(Millis Length) {
+  void advanceTime(Millis Length) {
     const TimePoint End = Now + Length;
     while (Now < End) {
       Now += Millis(50);
@@ -199,7 +199,7 @@
       for (auto &Row : Agents)
         runUnlessStopped(Row.first,
                          [&](Effects &e) { agentTick(Row.second, Now, e); });
-      pump();
+      deliverAll();
     }
   }
 
@@ -230,7 +230,7 @@
   }
 
   /** Finds the newest open connection from one process to another. */
-  Wire &wire(const std::string &From, const std::string &To) {
+  Wire &findWire(const std::string &From, const std::string &To) {
     const auto it =
         std::find_if(Wires.rbegin(), Wires.rend(), [&](const Wire &One) {
           return One.Open && One.From == From && One.To == To;
@@ -273,7 +273,7 @@
   }
 
   /** Delivers all queued messages, and those that they cause. */
-  void pump() {
+  void deliverAll() {
     for (bool Moved = true; Moved;) {
       Moved = false;
       for (size_t n = 0; n < Wires.size(); ++n) {
@@ -329,14 +329,14 @@
   }
 
   /** Answers a call to an agent's service. */
-  void answer(const std::string &Agent, const AttemptId &Which) {
+  void answerServiceCall(const std::string &Agent, const AttemptId &Which) {
     Effects Out;
     serviceAnswered(
         Agents.at(Agent), Which,
         Outcome<ServiceAnswer>{ServiceAnswer{200, "done " + Which.Value}, {}},
         Now, Out);
     perform(Agent, Out);
-    pump();
+    deliverAll();
   }
 
   /** Executes the effects of a process, or records them. */
@@ -361,11 +361,11 @@
                                         e.Token, e.Executed};
               },
               [&](const RunService &e) {
-                Records.emplace_back(Name, e.Call);
+                ServiceCalls.emplace_back(Name, e.Call);
                 if (!SlowServices.contains(Name))
-                  answer(Name, e.Call.Attempt);
+                  answerServiceCall(Name, e.Call.Attempt);
               },
-              [&](const RunModel &e) { Runs.emplace_back(Name, e.Request); },
+              [&](const RunModel &e) { EngineRequests.emplace_back(Name, e.Request); },
               [](const auto &) {
                 // Logs and weights aren't simulated.
               }},
--- a/tests/unit/one_entry.h
+++ b/tests/unit/one_entry.h
@@ -51,12 +51,12 @@
   }
 
   /** Handles a successful read of the configuration service. */
-  void read(const std::string &Text) {
+  void receiveConfig(const std::string &Text) {
     entryConfigRead(State, {Text, {}}, Now, Now, Out);
   }
 
   /** Advances the clock in ticks of 50 ms. */
-  void pass(Millis Time) {
+  void advanceClock(Millis Time) {
     for (Millis n{0}; n < Time; n += Millis{50}) {
       Now += Millis{50};
       entryTick(State, Now, Out);
@@ -64,7 +64,7 @@
   }
 
   /** Opens a wanted link and receives the first message of its peer. */
-  LinkId greet(const std::string &Name, uint64_t Version, bool Fresh) {
+  LinkId connectPeer(const std::string &Name, uint64_t Version, bool Fresh) {
     const LinkId Link = *State.Fleet.Wanted.at(HostName{Name}).Link;
     entryLinkOpened(State, Link, Now, Out);
     Hello Peer;
@@ -79,16 +79,16 @@
   }
 
   /** Receives a document from a peer; empty text for no newer one. */
-  void push(LinkId Link, const std::string &Text, bool Fresh) {
+  void receiveDocument(LinkId Link, const std::string &Text, bool Fresh) {
     entryMessage(State, Link, ConfigPush{Text, Fresh}, Now, Out);
   }
 
   /** Opens the links to all peers, which have no newer document. */
-  void joinAll(uint64_t Version) {
-    pass(Millis{50}); // Opens the links.
+  void connectAllPeers(uint64_t Version) {
+    advanceClock(Millis{50}); // Opens the links.
     for (const char *Name : {"b", "c", "e", "w"})
-      push(greet(Name, Version, true), "", true);
-    pass(Millis{100});
+      receiveDocument(connectPeer(Name, Version, true), "", true);
+    advanceClock(Millis{100});
   }
 
   /** Number of requests for a document sent to peers, probes aside. */
@@ -107,7 +107,7 @@
   }
 
   /** The next heartbeat of a peer; worker w reports that it is serving. */
-  Heartbeat beat(const std::string &Name) {
+  Heartbeat nextHeartbeat(const std::string &Name) {
     Heartbeat Beat;
     Beat.Sequence = ++Beats;
     Beat.Run.Value = 11;
@@ -120,12 +120,12 @@
   }
 
   /** Receives a message from a peer. */
-  void hear(const std::string &Name, const Message &m) {
+  void receiveMessage(const std::string &Name, const Message &m) {
     entryMessage(State, linkOf(Name), m, Now, Out);
   }
 
   /** Sends a call; gives its error, or nothing when it was sent on. */
-  std::optional<ErrorKind> ask() {
+  std::optional<ErrorKind> sendCall() {
     Out.clear();
     CallRequest Request;
     Request.Call.Value = ++Calls;
--- a/tests/unit/one_host.h
+++ b/tests/unit/one_host.h
@@ -17,12 +17,12 @@
 constexpr LinkId PeerB{2};
 
 /** Makes the bytes of a chunk. */
-inline ChunkBytes content(const std::string &Text) {
+inline ChunkBytes makeChunkBytes(const std::string &Text) {
   return std::make_shared<const std::string>(Text);
 }
 
 /** Makes a version of model "m" with one chunk for each text. */
-inline ModelVersion version(const std::vector<std::string> &Texts) {
+inline ModelVersion makeModelVersion(const std::vector<std::string> &Texts) {
   ModelVersion Model;
   Model.Name.Value = "m";
   for (const std::string &Text : Texts)
@@ -33,8 +33,8 @@
 
 /** A host with links to two peers of its domain; Now changes only in asked().
  */
-struct Host {
-  explicit Host(const std::string &Name = "w0", double LinkMegabits = 0) {
+struct TransferHost {
+  explicit TransferHost(const std::string &Name = "w0", double LinkMegabits = 0) {
     for (const char *One : {"w0", "w1", "w2", "w3"}) {
       Worker Row;
       Row.Name.Value = One;
@@ -54,22 +54,22 @@
   }
 
   /** Selects a version for loading and plans its transfer. */
-  void want(const ModelVersion &Model) {
+  void setWantedVersion(const ModelVersion &Model) {
     wantWeights(Weights, Model);
     planTransfer(Transfer, Weights, Doc, Self, Now);
   }
   /** Handles a peer's notice of its chunks; each argument is a bit mask. */
-  void have(LinkId Link, uint8_t Held, uint8_t Coming = 0) {
+  void receiveHeldChunks(LinkId Link, uint8_t Held, uint8_t Coming = 0) {
     chunkHaveHeard(Transfer, Link, {Weights.Wanted.Set, {Held}, {Coming}}, Now);
   }
   /** Handles a peer's answer to the request for chunk Asked. */
-  void give(LinkId Link, const std::string &Asked, const std::string &Came) {
+  void receiveChunk(LinkId Link, const std::string &Asked, const std::string &Came) {
     chunkFromPeer(Transfer, Weights, Link, sha256(Asked),
-                  checkChunk(content(Came)), Now, Out);
+                  checkChunk(makeChunkBytes(Came)), Now, Out);
   }
   /** Advances the clock, lets chunks be requested, and gives the links to the
    * peers that were asked. */
-  std::vector<LinkId> asked(Millis Passed = Millis(0)) {
+  std::vector<LinkId> advanceAndListAskedPeers(Millis Passed = Millis(0)) {
     Now += Passed;
     Out.clear();
     moveChunks(Transfer, Weights, Now, Out);
@@ -81,7 +81,7 @@
     return Links;
   }
   /** Counts the chunks requested from the origin in the latest effects. */
-  size_t drawn() const {
+  size_t originFetchCount() const {
     return static_cast<size_t>(
         std::ranges::count_if(Out, [](const Effect &One) {
           return std::holds_alternative<FetchFromOrigin>(One);
@@ -97,7 +97,7 @@
 };
 
 /** Expected result of Host::asked() when no peer was asked. */
-inline const std::vector<LinkId> None;
+inline const std::vector<LinkId> NoLinks;
 
 } // namespace jacinthpond
 
--- a/tests/unit/pause_test.cpp
+++ b/tests/unit/pause_test.cpp
@@ -14,10 +14,10 @@
 /** An entry that has joined, and whose worker serves. */
 struct Joined : OneEntry {
   Joined() {
-    read(document(5));
-    joinAll(5);
-    hear("w", beat("w"));
-    BOOST_REQUIRE(!ask());
+    receiveConfig(document(5));
+    connectAllPeers(5);
+    receiveMessage("w", nextHeartbeat("w"));
+    BOOST_REQUIRE(!sendCall());
   }
 
   /** Advances time while the named peers send heartbeats. */
@@ -25,8 +25,8 @@
                              const std::vector<std::string> &Peers) {
     for (Millis n{0}; n < Time; n += Millis{500}) {
       for (const std::string &Name : Peers)
-        hear(Name, beat(Name));
-      pass(Millis{500});
+        receiveMessage(Name, nextHeartbeat(Name));
+      advanceClock(Millis{500});
     }
   }
 };
@@ -49,10 +49,10 @@
   const Incarnation Before = State.Fleet.Self.Run;
   const LinkId Old = linkOf("w");
   Now += std::chrono::seconds{20};
-  BOOST_TEST((ask() == ErrorKind::StaleView));
+  BOOST_TEST((sendCall() == ErrorKind::StaleView));
   BOOST_TEST(countClosedLinks(Out) == 4U);
   BOOST_TEST((State.Fleet.Self.Run != Before));
-  entryMessage(State, Old, beat("w"), Now, Out); // Sent before the pause.
+  entryMessage(State, Old, nextHeartbeat("w"), Now, Out); // Sent before the pause.
   BOOST_TEST(State.Fleet.Links.empty());
   entryConfigRead(State, {std::string(), {}}, Now - std::chrono::seconds{20},
                   Now, Out); // Read that began before the pause.
@@ -61,14 +61,14 @@
   // that the service answers, which may have gone down meanwhile. Servers whose
   // registration expired in the outage would then count as gone.
   BOOST_TEST(!State.Fleet.Joining.ServiceHeard);
-  joinAll(5);
-  hear("w", beat("w"));
-  BOOST_TEST(!ask());
+  connectAllPeers(5);
+  receiveMessage("w", nextHeartbeat("w"));
+  BOOST_TEST(!sendCall());
 }
 
 BOOST_AUTO_TEST_CASE(AShortGapIsNoPause) {
   Now += Millis{1900};
-  BOOST_TEST(!ask());
+  BOOST_TEST(!sendCall());
 }
 
 BOOST_AUTO_TEST_CASE(ACutOffEntryRefusesWorkUntilItHasContact) {
@@ -76,9 +76,9 @@
   BOOST_TEST(fresh());
   advanceWithHeartbeats(Millis{7000},
                         {"w"}); // One of four wanted peers is left.
-  BOOST_TEST((ask() == ErrorKind::StaleView));
-  read("");
-  pass(Millis{2000}); // The service answers again.
+  BOOST_TEST((sendCall() == ErrorKind::StaleView));
+  receiveConfig("");
+  advanceClock(Millis{2000}); // The service answers again.
   BOOST_TEST(fresh());
 }
 
@@ -86,7 +86,7 @@
 // go on working: nothing can have been published.
 BOOST_AUTO_TEST_CASE(ContactWithMostPeersSufficesWithoutTheService) {
   advanceWithHeartbeats(Millis{60000}, {"b", "c", "w"});
-  BOOST_TEST(!ask());
+  BOOST_TEST(!sendCall());
 }
 
 // Two entries that are cut off together must not count as each other's contact:
@@ -94,7 +94,7 @@
 BOOST_AUTO_TEST_CASE(ACutOffEntryDoesNotCountAsContact) {
   advanceWithHeartbeats(Millis{8000}, {"b"});
   BOOST_TEST(!fresh());
-  push(linkOf("b"), "", true);
+  receiveDocument(linkOf("b"), "", true);
   advanceWithHeartbeats(Millis{3000}, {"b"});
   BOOST_TEST(!fresh());
 }
@@ -122,17 +122,17 @@
 // A worker must get no more work when only another entry knows that it is
 // leaving.
 BOOST_AUTO_TEST_CASE(ADepartureReportedByAPeerExpires) {
-  hear("b", LeavingNotice{HostName{"w"}, Incarnation{11}, 4000});
-  BOOST_TEST((ask() == ErrorKind::NoWorker));
+  receiveMessage("b", LeavingNotice{HostName{"w"}, Incarnation{11}, 4000});
+  BOOST_TEST((sendCall() == ErrorKind::NoWorker));
   advanceWithHeartbeats(Millis{6500}, {"b", "c", "e", "w"});
-  BOOST_TEST(!ask());
+  BOOST_TEST(!sendCall());
 }
 
 BOOST_AUTO_TEST_CASE(ANewIncarnationOfALeavingHostGetsWork) {
-  hear("b", LeavingNotice{HostName{"w"}, Incarnation{10}, 0});
-  BOOST_TEST(!ask());
-  hear("b", LeavingNotice{HostName{"w"}, Incarnation{0}, 0});
-  BOOST_TEST((ask() == ErrorKind::NoWorker));
+  receiveMessage("b", LeavingNotice{HostName{"w"}, Incarnation{10}, 0});
+  BOOST_TEST(!sendCall());
+  receiveMessage("b", LeavingNotice{HostName{"w"}, Incarnation{0}, 0});
+  BOOST_TEST((sendCall() == ErrorKind::NoWorker));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/place_test.cpp
+++ b/tests/unit/place_test.cpp
@@ -54,13 +54,13 @@
                                          bool Spare = false) {
     Out.clear();
     PlaceAsk m;
-    m.Place.Value = Id;
+    m.SlotId.Value = Id;
     m.Tenant.Value = "t";
     m.Rank = Rank;
     m.WaitMillis = static_cast<uint64_t>(Wait.count());
     m.PromptTokens = Prompt;
-    m.MostReadingMillis = MostReading;
-    m.Spare = Spare;
+    m.MaxReadingMillis = MostReading;
+    m.SpareOnly = Spare;
     handleSlotRequest(Agent, Link, m, Now, Out);
     return lastAnswer(Id);
   }
@@ -77,7 +77,7 @@
     for (const Effect &One : Out)
       if (const auto *Sent = std::get_if<SendMessage>(&One))
         if (const auto *m = std::get_if<PlaceAnswer>(&Sent->Content))
-          if (m->Place.Value == Id)
+          if (m->SlotId.Value == Id)
             Found = *m;
     return Found;
   }
@@ -85,7 +85,7 @@
   /** Says whether the latest effects grant a slot. */
   bool isGranted(const std::string &Id) const {
     const auto Found = lastAnswer(Id);
-    return Found && Found->Given;
+    return Found && Found->Granted;
   }
 
   AgentState Agent;
@@ -97,8 +97,8 @@
 
 BOOST_AUTO_TEST_CASE(SlotsAreGrantedUpToTheLimitAndThenInTurn) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestSlot("a", Millis(500))->Given);
-  BOOST_TEST(Test.requestSlot("b", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(500))->Granted);
+  BOOST_TEST(Test.requestSlot("b", Millis(500))->Granted);
   BOOST_TEST(!Test.requestSlot("c", Millis(500)).has_value());
   Test.releaseSlot("a");
   BOOST_TEST(Test.isGranted("c"));
@@ -113,7 +113,7 @@
   Test.requestSlot("b", Millis(500));
   const auto Answer = Test.requestSlot("c", Millis(10));
   BOOST_REQUIRE(Answer.has_value());
-  BOOST_TEST(!Answer->Given);
+  BOOST_TEST(!Answer->Granted);
   BOOST_CHECK(Answer->Why == ErrorKind::Overloaded);
   BOOST_TEST(Answer->RetryAfterMillis > 0U);
 }
@@ -147,8 +147,8 @@
   // Guards against several long prompts at once. Three of them made all answers
   // of a worker pause for half a second, which made these late.
   AgentFixture Test;
-  Test.Agent.Reading.TokensPerSecond = 10000;
-  BOOST_TEST(Test.requestSlot("a", Millis(500), 3000)->Given);
+  Test.Agent.Prefill.TokensPerSecond = 10000;
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 3000)->Granted);
   BOOST_TEST(!Test.requestSlot("b", Millis(500), 3000).has_value());
   Test.Now += Millis(100);
   Test.Out.clear();
@@ -162,7 +162,7 @@
 
 BOOST_AUTO_TEST_CASE(AnswerContainsRemainingReadingTime) {
   AgentFixture Test;
-  Test.Agent.Reading.TokensPerSecond = 10000;
+  Test.Agent.Prefill.TokensPerSecond = 10000;
   BOOST_TEST(Test.requestSlot("a", Millis(500), 500)->ReadingMillis == 50U);
 }
 
@@ -221,16 +221,16 @@
 // queued work has to refuse such a request at once instead of queueing it.
 BOOST_AUTO_TEST_CASE(BusyBackEndRefusesRequestForIdleOne) {
   AgentFixture Test;
-  Test.Agent.Reading.TokensPerSecond = 1000;
-  BOOST_TEST(Test.requestSlot("a", Millis(500), 50, 1, EntryA, 20)->Given);
+  Test.Agent.Prefill.TokensPerSecond = 1000;
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 50, 1, EntryA, 20)->Granted);
   const auto Refused = Test.requestSlot("b", Millis(500), 50, 1, EntryA, 20);
-  BOOST_TEST(!Refused->Given);
+  BOOST_TEST(!Refused->Granted);
   BOOST_TEST((Refused->Why == ErrorKind::Overloaded));
   BOOST_TEST(Refused->ReadingMillis == 50);
-  BOOST_TEST(Test.requestSlot("c", Millis(500), 50, 1, EntryA, 60)->Given);
+  BOOST_TEST(Test.requestSlot("c", Millis(500), 50, 1, EntryA, 60)->Granted);
   BOOST_TEST(!Test.requestSlot("d", Millis(500))
                   .has_value()); // Queued: the limit is two.
-  BOOST_TEST(!Test.requestSlot("e", Millis(500), 0, 1, EntryA, 1000)->Given);
+  BOOST_TEST(!Test.requestSlot("e", Millis(500), 0, 1, EntryA, 1000)->Granted);
 }
 
 // Guards against an overload in which no request is on time any more: a retry
@@ -243,10 +243,10 @@
     return Test.requestSlot(Id, Millis(1000), 0, 1, EntryA, 0, true);
   };
   for (int n = 0; n < 12; ++n)
-    BOOST_TEST(Test.requestSlot("a" + std::to_string(n), Millis(100))->Given);
-  BOOST_TEST(RequestLateSlot("late 1")->Given); // Three slots stay reserved.
+    BOOST_TEST(Test.requestSlot("a" + std::to_string(n), Millis(100))->Granted);
+  BOOST_TEST(RequestLateSlot("late 1")->Granted); // Three slots stay reserved.
   BOOST_TEST(!RequestLateSlot("late 2").has_value());
-  BOOST_TEST(Test.requestSlot("b", Millis(100), 0, 1, EntryA, 60)->Given);
+  BOOST_TEST(Test.requestSlot("b", Millis(100), 0, 1, EntryA, 60)->Granted);
   Test.releaseSlot("a0");
   BOOST_TEST(!Test.isGranted("late 2"));
   Test.releaseSlot("a1");
@@ -257,19 +257,19 @@
 BOOST_AUTO_TEST_CASE(SmallIdleBackEndAcceptsLateRequests) {
   AgentFixture Test;
   BOOST_TEST(
-      Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)->Given);
+      Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)->Granted);
 }
 
 BOOST_AUTO_TEST_CASE(LateRequestIsRefusedAfterItsWait) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestSlot("a", Millis(100))->Given);
-  BOOST_TEST(Test.requestSlot("b", Millis(100))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(100))->Granted);
+  BOOST_TEST(Test.requestSlot("b", Millis(100))->Granted);
   BOOST_TEST(!Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)
                   .has_value());
   Test.Now += Millis(1000);
   Test.Out.clear();
   expireSlots(Test.Agent, Test.Now, Test.Out);
-  BOOST_TEST(!Test.lastAnswer("late")->Given);
+  BOOST_TEST(!Test.lastAnswer("late")->Granted);
   BOOST_TEST(Test.Agent.SpareQueue.empty());
   BOOST_TEST(Test.Agent.SlotsById.size() == 2U);
 }
@@ -278,8 +278,8 @@
 // agent stops.
 BOOST_AUTO_TEST_CASE(LateRequestsAreRefusedWhenTheAgentStops) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestSlot("a", Millis(100))->Given);
-  BOOST_TEST(Test.requestSlot("b", Millis(100))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(100))->Granted);
+  BOOST_TEST(Test.requestSlot("b", Millis(100))->Granted);
   BOOST_TEST(!Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)
                   .has_value());
   Test.Out.clear();
@@ -297,11 +297,11 @@
   Test.Agent.Config.WeightsChangeMillis = 8000;
   Test.Agent.Weights.AtEngine = true;
   noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
-  BOOST_TEST(Test.requestSlot("soon", Millis(0))->Given);
+  BOOST_TEST(Test.requestSlot("soon", Millis(0))->Granted);
   Test.Now += Millis(8000);
   const auto Late = Test.requestSlot("late", Millis(0));
   BOOST_REQUIRE(Late);
-  BOOST_TEST(!Late->Given);
+  BOOST_TEST(!Late->Granted);
   BOOST_CHECK(Late->Why == ErrorKind::WeightsNotReady);
 }
 
@@ -325,7 +325,7 @@
 PlaceAsk requestWithTarget(const std::string &Id, Millis Time,
                            uint32_t Prompt) {
   PlaceAsk m;
-  m.Place.Value = Id;
+  m.SlotId.Value = Id;
   m.Tenant.Value = "t";
   m.WaitMillis = m.FirstPartMillis = static_cast<uint64_t>(Time.count());
   m.PromptTokens = Prompt;
@@ -338,7 +338,7 @@
   // token. A third of all answers were late, and fresh requests that could have
   // been on time were refused.
   AgentFixture Test;
-  Test.Agent.Reading.TokensPerSecond = 10000;
+  Test.Agent.Prefill.TokensPerSecond = 10000;
   for (int n = 0; n < 50; ++n)
     firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
   Test.requestSlot("a", Millis(500));
@@ -390,8 +390,8 @@
   // for half a minute, 1,057 of 1,078 late requests that were queued for spare
   // capacity were refused only after up to 3 s.
   AgentFixture Test;
-  BOOST_TEST(Test.requestSlot("a", Millis(100))->Given);
-  BOOST_TEST(Test.requestSlot("b", Millis(100))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(100))->Granted);
+  BOOST_TEST(Test.requestSlot("b", Millis(100))->Granted);
   const auto RequestLateSlot = [&](const std::string &Id) {
     return Test.requestSlot(Id, Millis(1000), 0, 1, EntryA, 0, true);
   };
@@ -401,9 +401,9 @@
   expireSlots(Test.Agent, Test.Now, Test.Out);
   const auto Refused = RequestLateSlot("late 2");
   BOOST_REQUIRE(Refused);
-  BOOST_TEST(!Refused->Given);
+  BOOST_TEST(!Refused->Granted);
   Test.releaseSlot("a");
-  BOOST_TEST(RequestLateSlot("late 3")->Given);
+  BOOST_TEST(RequestLateSlot("late 3")->Granted);
 }
 
 BOOST_AUTO_TEST_CASE(ListedSlotsReplaceTheLimitsFromTheSettings) {
@@ -442,7 +442,7 @@
 BOOST_AUTO_TEST_CASE(FullAgentAnswersPingAtOnce) {
   AgentFixture Test;
   Test.setLimit(1);
-  BOOST_TEST(Test.requestSlot("a", Millis(0))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(0))->Granted);
   Test.Agent.Fleet.Links[EntryA].State = LinkState::Ready;
   Test.Out.clear();
   agentMessage(Test.Agent, EntryA, Ping{3}, Test.Now, Test.Out);
@@ -466,7 +466,7 @@
     const auto Answer =
         Test.requestSlot(Id, Millis(500), 0, 1, n % 2 ? EntryA : EntryB);
     BOOST_REQUIRE(Answer.has_value()); // Not queued: others may have capacity.
-    if (!Answer->Given) {
+    if (!Answer->Granted) {
       BOOST_CHECK(Answer->Why == ErrorKind::RateLimited);
       BOOST_TEST(Answer->RetryAfterMillis > 0U);
       continue;
@@ -490,7 +490,7 @@
     for (; Test.Now < End; Test.Now += Millis(10)) {
       const std::string Id =
           std::to_string(Test.Now.time_since_epoch().count());
-      Given += Test.requestSlot(Id, Millis(500))->Given ? 1 : 0;
+      Given += Test.requestSlot(Id, Millis(500))->Granted ? 1 : 0;
       Test.releaseSlot(Id);
     }
     return Given;
@@ -520,22 +520,22 @@
 BOOST_AUTO_TEST_CASE(UnusedSlotIsNotCountedAgainstTheRateLimit) {
   AgentFixture Test;
   handleRateNotice(Test.Agent, {{}, {}, 0.3, 0}, Test.Now, Test.Out);
-  BOOST_TEST(Test.requestSlot("a", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("a", Millis(500))->Granted);
   Test.releaseSlot("a", false, false);
-  BOOST_TEST(Test.requestSlot("b", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("b", Millis(500))->Granted);
   Test.releaseSlot("b", false, true);
-  BOOST_TEST(!Test.requestSlot("c", Millis(500))->Given);
+  BOOST_TEST(!Test.requestSlot("c", Millis(500))->Granted);
 }
 
 // Guards against a limit being lifted by an answer to a request that was sent
 // before the limit was named.
 BOOST_AUTO_TEST_CASE(OnlyAnAnswerToALaterRequestLiftsTheRateLimit) {
   AgentFixture Test;
-  BOOST_TEST(Test.requestSlot("early", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("early", Millis(500))->Granted);
   Test.Now += Millis(100);
   handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
   Test.Now += Millis(900);
-  BOOST_TEST(Test.requestSlot("late", Millis(500))->Given);
+  BOOST_TEST(Test.requestSlot("late", Millis(500))->Granted);
   handleRateNotice(Test.Agent, {{"early"}, {}, {}, 1000}, Test.Now, Test.Out);
   BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
   handleRateNotice(Test.Agent, {{"unknown"}, {}, {}, 0}, Test.Now, Test.Out);
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -18,13 +18,13 @@
   ColdMesh() : Mesh(4, 5, 0) {
     for (auto &[Name, Agent] : Agents)
       Agent.Gate.Limits.Cold = Agent.Gate.Limit = 2;
-    pass(Millis(1000));
+    advanceTime(Millis(1000));
   }
 
   /** Gives the engines that such a request reached and crashed. */
   std::set<std::string> crashedEngines() {
-    for (; Begun.size() < Runs.size();)
-      Begun.push_back(Crashed.insert(Runs[Begun.size()].first).second);
+    for (; Begun.size() < EngineRequests.size();)
+      Begun.push_back(Crashed.insert(EngineRequests[Begun.size()].first).second);
     return Crashed;
   }
 
@@ -32,7 +32,7 @@
   void endRuns() {
     crashedEngines();
     for (; Ended < Begun.size(); ++Ended)
-      failRun(Runs[Ended].first, Runs[Ended].second.Attempt,
+      failRun(EngineRequests[Ended].first, EngineRequests[Ended].second.Attempt,
               Begun[Ended] ? ErrorKind::OutcomeUnknown
                            : ErrorKind::Unreachable);
   }
@@ -42,14 +42,14 @@
     Effects Out;
     engineEnded(Agents.at(Name), Which, {{}, {Why, "", {}}}, Now, Out);
     perform(Name, Out);
-    pump();
+    deliverAll();
   }
 
   /** Lets all agents read the state of their engines. */
   void readStates() {
     for (auto &[Name, Agent] : Agents) {
       if (!crashedEngines().contains(Name)) {
-        warm(Name);
+        reportWeightsLoaded(Name);
         continue;
       }
       Effects Out;
@@ -57,7 +57,7 @@
                       Agent.Weights.OrdersEnded, Now, Out);
       perform(Name, Out);
     }
-    pump();
+    deliverAll();
   }
 
   /** Runs the system for 2 s, so that all effects of the deaths have spread. */
@@ -65,7 +65,7 @@
     for (int n = 0; n < 20; ++n) {
       endRuns();
       readStates();
-      pass(Millis(100));
+      advanceTime(Millis(100));
     }
   }
 
@@ -81,13 +81,13 @@
 // broke.
 BOOST_FIXTURE_TEST_CASE(AThirdEngineIsSparedBeforeADeathIsConfirmed, ColdMesh) {
   for (const char *Entry : {"e0", "e1", "e2", "e3"}) {
-    ask(Entry, "reports", "", "", Poison);
+    sendRequest(Entry, "reports", "", "", Poison);
     endRuns();
-    pass(Millis(50));
+    advanceTime(Millis(50));
   }
   settle();
   BOOST_TEST(crashedEngines().size() <= 2U);
-  const uint64_t Last = ask("e0", "reports", "", "", Poison);
+  const uint64_t Last = sendRequest("e0", "reports", "", "", Poison);
   settle();
   BOOST_TEST((Finals.at(Last).Kind == ErrorKind::Quarantined));
 }
@@ -96,8 +96,8 @@
 // the first one has crashed its engine.
 BOOST_FIXTURE_TEST_CASE(EqualRequestsInFlightReachTwoEnginesAtMost, ColdMesh) {
   for (const char *Entry : {"e0", "e1", "e2", "e3"}) {
-    ask(Entry, "reports", "", "", Poison);
-    pass(Millis(50));
+    sendRequest(Entry, "reports", "", "", Poison);
+    advanceTime(Millis(50));
   }
   settle();
   BOOST_TEST(crashedEngines().size() <= 2U);
@@ -107,10 +107,10 @@
 // move to other workers, and only then its running request is seen to fail.
 BOOST_FIXTURE_TEST_CASE(RunsAtASilentEngineAreSuspectBeforeTheyFail, ColdMesh) {
   for (const char *Entry : {"e0", "e1", "e2", "e3"})
-    ask(Entry, "reports", "", "", Poison);
+    sendRequest(Entry, "reports", "", "", Poison);
   for (int n = 0; n < 20; ++n) {
     readStates();
-    pass(Millis(100));
+    advanceTime(Millis(100));
     endRuns();
   }
   BOOST_TEST(crashedEngines().size() <= 2U);
@@ -120,13 +120,13 @@
 // a suspect.
 BOOST_FIXTURE_TEST_CASE(ABrokenConnectionIsNoDeath, ColdMesh) {
   for (int n = 0; n < 3; ++n) {
-    ask("e0", "reports", "", "", Poison);
-    const auto [Name, Request] = Runs.back();
+    sendRequest("e0", "reports", "", "", Poison);
+    const auto [Name, Request] = EngineRequests.back();
     failRun(Name, Request.Attempt, ErrorKind::OutcomeUnknown);
     for (int Reads = 0; Reads < 4; ++Reads) {
       for (const auto &[Each, Agent] : Agents)
-        warm(Each);
-      pass(Millis(100));
+        reportWeightsLoaded(Each);
+      advanceTime(Millis(100));
     }
   }
   for (const auto &[Name, Entry] : Entries)
--- a/tests/unit/publication_age_test.cpp
+++ b/tests/unit/publication_age_test.cpp
@@ -16,8 +16,8 @@
 /** An entry that has joined, and whose peers the service answers. */
 struct Joined : OneEntry {
   Joined() {
-    read(document(5));
-    joinAll(5);
+    receiveConfig(document(5));
+    connectAllPeers(5);
     advanceWithHeartbeats(Millis{1000});
     BOOST_REQUIRE(fresh());
   }
@@ -29,11 +29,11 @@
   void advanceWithHeartbeats(Millis Time, bool Service = true) {
     for (Millis n{0}; n < Time; n += Millis{500}) {
       for (const char *Name : {"b", "c", "e"}) {
-        Heartbeat Beat = beat(Name);
-        Beat.Service = Service;
-        hear(Name, Beat);
+        Heartbeat Beat = nextHeartbeat(Name);
+        Beat.ReachesConfigService = Service;
+        receiveMessage(Name, Beat);
       }
-      pass(Millis{500});
+      advanceClock(Millis{500});
     }
   }
 
@@ -50,7 +50,7 @@
 
 BOOST_AUTO_TEST_CASE(ADocumentIsRecentWhileInContact) {
   advanceWithHeartbeats(Millis{3000});
-  read(document(6));
+  receiveConfig(document(6));
   BOOST_TEST(maxAge().count() <= 500); // One heartbeat period.
 }
 
@@ -59,27 +59,27 @@
   // took them for just published when it resumes, it would let requests begin
   // on the old weights for five seconds longer than the others.
   Now += Millis{5000};
-  pass(Millis{50});
-  read(document(6));
+  advanceClock(Millis{50});
+  receiveConfig(document(6));
   BOOST_TEST(maxAge().count() >= 5000);
   BOOST_TEST(maxAge().count() <= 5600);
 }
 
 BOOST_AUTO_TEST_CASE(APauseCountsForEachDocumentReadAfterIt) {
   Now += Millis{5000};
-  pass(Millis{50});
-  read(document(6)); // The service does not have the newest one yet.
-  pass(Millis{200});
-  read(document(7));
+  advanceClock(Millis{50});
+  receiveConfig(document(6)); // The service does not have the newest one yet.
+  advanceClock(Millis{200});
+  receiveConfig(document(7));
   BOOST_TEST(maxAge().count() >= 5200);
 }
 
 BOOST_AUTO_TEST_CASE(ADocumentIsRecentAfterRejoining) {
   Now += Millis{5000};
-  joinAll(5);
+  connectAllPeers(5);
   advanceWithHeartbeats(Millis{2000});
   BOOST_REQUIRE(fresh());
-  read(document(6));
+  receiveConfig(document(6));
   BOOST_TEST(maxAge().count() <= 500);
 }
 
@@ -88,23 +88,23 @@
   // may have been sent before new weights were published. Counted as proof that
   // nothing was missed, they would make the weights look just published.
   Now += Millis{1800};
-  pass(Millis{50});
+  advanceClock(Millis{50});
   advanceWithHeartbeats(Millis{500});
-  read(document(6));
+  receiveConfig(document(6));
   BOOST_TEST(maxAge().count() >= 1800);
 }
 
 BOOST_AUTO_TEST_CASE(AgeCountsFromBeforeAPeerWasAhead) {
-  Heartbeat Ahead = beat("b");
-  Ahead.Service = true;
+  Heartbeat Ahead = nextHeartbeat("b");
+  Ahead.ReachesConfigService = true;
   Ahead.Version.Value = 6;
-  hear("b", Ahead);
-  pass(Millis{800}); // Its document is slow to arrive.
-  Heartbeat Behind = beat("c");
-  Behind.Service = true;
-  hear("c", Behind);
-  pass(Millis{100});
-  push(linkOf("b"), document(6), true);
+  receiveMessage("b", Ahead);
+  advanceClock(Millis{800}); // Its document is slow to arrive.
+  Heartbeat Behind = nextHeartbeat("c");
+  Behind.ReachesConfigService = true;
+  receiveMessage("c", Behind);
+  advanceClock(Millis{100});
+  receiveDocument(linkOf("b"), document(6), true);
   BOOST_TEST(maxAge().count() >= 900);
 }
 
@@ -113,15 +113,15 @@
   // document published after it, they would end the time of the old weights at
   // once.
   advanceWithHeartbeats(Millis{10000}, false);
-  read(document(6));
+  receiveConfig(document(6));
   BOOST_TEST(maxAge().count() <= 600);
 }
 
 BOOST_AUTO_TEST_CASE(PublicationTimeIsUnknownAfterAStart) {
   OneEntry New;
-  New.read(document(5));
+  New.receiveConfig(document(5));
   BOOST_TEST(!New.State.View.PublishedAfter.has_value());
-  New.read(document(6)); // The first one may be from a peer that was behind.
+  New.receiveConfig(document(6)); // The first one may be from a peer that was behind.
   BOOST_TEST(!New.State.View.PublishedAfter.has_value());
 }
 
--- a/tests/unit/retry_budget_test.cpp
+++ b/tests/unit/retry_budget_test.cpp
@@ -18,7 +18,7 @@
   for (auto &Row : All.Agents)
     Row.second.Gate.Limits.Queue = Row.second.Gate.Limit = 0;
   for (uint64_t n = 0; n < Requests; ++n) {
-    const uint64_t Call = All.ask("e0", "status");
+    const uint64_t Call = All.sendRequest("e0", "status");
     BOOST_REQUIRE(All.Finals.contains(Call)); // Ended at once.
     BOOST_TEST((All.Finals.at(Call).Executed == Ran::No));
   }
--- a/tests/unit/rollout_test.cpp
+++ b/tests/unit/rollout_test.cpp
@@ -307,7 +307,7 @@
                         UnconfirmedOrder) {
   BOOST_TEST(confirmedSet(Weights, "run 1", Set).Value.empty());
   BOOST_TEST((confirmedSet(Weights, "run 1", Digest{"m@1"}) == Digest{"m@1"}));
-  BOOST_TEST(order().Anew);
+  BOOST_TEST(order().ForceReload);
   orderConfirmed(Weights);
   BOOST_TEST((confirmedSet(Weights, "run 1", Set) == Set));
 }
--- a/tests/unit/roster_test.cpp
+++ b/tests/unit/roster_test.cpp
@@ -18,8 +18,8 @@
   One.Name.Value = Name;
   One.Sender = Role::Entry;
   One.Domain.Value = "d";
-  One.At.Value = Name + ":1";
-  One.Callers.Value = Name + ":2";
+  One.LinkAddress.Value = Name + ":1";
+  One.CallerAddress.Value = Name + ":2";
   return One;
 }
 
--- a/tests/unit/route_model.h
+++ b/tests/unit/route_model.h
@@ -934,7 +934,7 @@
       }
       Effects Out;
       if (const auto *Heard = std::get_if<RateHeard>(&*m)) {
-        if (rateTold(Who.Pool, *Heard, Now) != RateChange::None)
+        if (recordPeerRate(Who.Pool, *Heard, Now) != RateChange::None)
           spreadNotice(Who.Entry->Fleet, *Heard, Role::Entry, Out);
         perform(Who, Out);
         return;
@@ -1214,7 +1214,7 @@
       return;
     One->Limit = Now + std::min(One->From->Timeout, Millis(2000));
     One->Needs.Service = One->From->Targets.front().Service;
-    One->Needs.From = One->From;
+    One->Needs.MatchedRoute = One->From;
     KeyOf[Id] = Key;
     countFirst(At.Repeats, One->Needs.Service, Now);
     Firsts[One->Needs.Service].push_back(Now);
@@ -1268,20 +1268,20 @@
 
   void askPlace(Process &At, const AskedPtr &One, const ServerView &Server) {
     PlaceAsk Ask;
-    Ask.Place.Value = At.Name + "/" + std::to_string(At.Life) + "/" +
+    Ask.SlotId.Value = At.Name + "/" + std::to_string(At.Life) + "/" +
                       std::to_string(++At.Places);
     const Duration Left = One->Sent + One->From->Target - Now;
     Millis Wait = std::max(toMillis(Left), Millis(0));
     if (Wait.count() == 0) {
-      Ask.Spare = true;
+      Ask.SpareOnly = true;
       Wait = lateWait(One->Limit - Now);
       takeBusyOnes(One->Search, One->Needs);
     }
     Ask.WaitMillis = static_cast<uint64_t>(Wait.count());
     const Millis MostReading = mostReading(One->Search);
-    Ask.MostReadingMillis = static_cast<uint32_t>(MostReading.count());
+    Ask.MaxReadingMillis = static_cast<uint32_t>(MostReading.count());
     placeAsked(One->Search);
-    One->Place = Ask.Place;
+    One->Place = Ask.SlotId;
     One->PlaceLink = Server.Agent->Link;
     One->Asking = true;
     At.Waiting[One->Place] = One;
@@ -1299,19 +1299,19 @@
   }
 
   void placeAnswered(Process &At, const PlaceAnswer &Said) {
-    const auto Node = At.Waiting.extract(Said.Place);
+    const auto Node = At.Waiting.extract(Said.SlotId);
     if (!Node)
       return;
     const AskedPtr One = Node.mapped();
-    if (One->Over || !One->Asking || One->Place != Said.Place)
+    if (One->Over || !One->Asking || One->Place != Said.SlotId)
       return;
     One->Asking = false;
     loadTold(At.Pool, One->At, Said.Load.Busy, Now);
-    if (Said.Given && mayStillUse(At.Pool, One->At, One->Needs, Now)) {
+    if (Said.Granted && mayStillUse(At.Pool, One->At, One->Needs, Now)) {
       sendTo(At, One, At.Pool.Servers.at(One->At));
       return;
     }
-    if (!Said.Given)
+    if (!Said.Granted)
       One->Place = {};
     if (Said.Why == ErrorKind::RateLimited)
       rateRefused(At.Pool, One->At, Millis(Said.RetryAfterMillis), Now);
@@ -1704,7 +1704,7 @@
     // matter of this rule.
     const auto IsKnown = [&](const Server &One) {
       const auto it = At.Pool.Servers.find(One.Id);
-      return it != At.Pool.Servers.end() && !it->second.Vanished;
+      return it != At.Pool.Servers.end() && !it->second.UnlistedSince;
     };
     for (const auto &[Name, One] : Servers)
       if (One.Model == (Service.Value == "llm") && isSound(One) &&
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -95,9 +95,9 @@
   Membership Fleet;
   PeerLink &Peer = Fleet.Links[LinkId{1}];
   countSentAttempt(Fleet, LinkId{1});
-  BOOST_TEST(Peer.SentSince == 1U);
+  BOOST_TEST(Peer.AttemptsSinceLoad == 1U);
   recordReportedLoad(Fleet, LinkId{1}, Failed, Now);
-  BOOST_TEST(Peer.SentSince == 0U);
+  BOOST_TEST(Peer.AttemptsSinceLoad == 0U);
   BOOST_TEST(Peer.Load.Running == 5U);
   BOOST_TEST(Peer.Load.Limit == 4U);
   BOOST_TEST((Peer.AvoidUntil == Now + Millis{400}));
--- a/tests/unit/server_pool_test.cpp
+++ b/tests/unit/server_pool_test.cpp
@@ -70,7 +70,7 @@
   ServerNeeds needs(const std::string &Service) const {
     ServerNeeds Needs;
     Needs.Service.Value = Service;
-    Needs.From = &TestRoute;
+    Needs.MatchedRoute = &TestRoute;
     return Needs;
   }
 
--- a/tests/unit/server_rate_test.cpp
+++ b/tests/unit/server_rate_test.cpp
@@ -82,7 +82,7 @@
   bool send(size_t n, TimePoint Now) {
     ServerNeeds Needs;
     Needs.Service.Value = "s";
-    Needs.From = &TestRoute;
+    Needs.MatchedRoute = &TestRoute;
     if (chooseServer(Pools[n], Needs, Now).Server == nullptr)
       return false;
     attemptOpened(Pools[n], Id);
@@ -181,7 +181,7 @@
   while (WithoutShare < All.Pools.size() && All.send(WithoutShare, Now))
     ++WithoutShare;
   BOOST_REQUIRE(WithoutShare < All.Pools.size());
-  rateTold(All.Pools[WithoutShare], {{}, All.Id, std::nullopt, 500}, Now);
+  recordPeerRate(All.Pools[WithoutShare], {{}, All.Id, std::nullopt, 500}, Now);
   BOOST_TEST(All.send(WithoutShare, Now));
 }
 
