--- a/tests/unit/slow_link_test.cpp
+++ b/tests/unit/slow_link_test.cpp
@@ -14,7 +14,7 @@
 
 /** Builds a version with chunks of 1000 bytes. */
 ModelVersion makeSmallChunks(const std::vector<std::string> &Texts) {
-  ModelVersion Model = version(Texts);
+  ModelVersion Model = makeModelVersion(Texts);
   Model.ChunkBytes = 1000;
   return Model;
 }
@@ -25,51 +25,51 @@
 // becomes slow, but as some data still arrives it does not count as stalled,
 // and all hosts wait for their last chunks from it.
 BOOST_AUTO_TEST_CASE(ASlowChunkIsRequestedFromAFasterPeer) {
-  Host One("w0", LinkMegabits);
-  One.want(makeSmallChunks({"a", "b"}));
-  One.have(PeerB, 1);
-  BOOST_TEST((One.asked() == std::vector{PeerB}));
+  TransferHost One("w0", LinkMegabits);
+  One.setWantedVersion(makeSmallChunks({"a", "b"}));
+  One.receiveHeldChunks(PeerB, 1);
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerB}));
   One.Now += Millis(10);
-  One.give(PeerB, "a", "a"); // Fast.
-  One.have(PeerA, 2);
-  BOOST_TEST((One.asked() == std::vector{PeerA}));
-  One.have(PeerB, 3);
-  BOOST_TEST((One.asked(Millis(79)) == None));
-  BOOST_TEST((One.asked(Millis(1)) == std::vector{PeerB}));
+  One.receiveChunk(PeerB, "a", "a"); // Fast.
+  One.receiveHeldChunks(PeerA, 2);
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerA}));
+  One.receiveHeldChunks(PeerB, 3);
+  BOOST_TEST((One.advanceAndListAskedPeers(Millis(79)) == NoLinks));
+  BOOST_TEST((One.advanceAndListAskedPeers(Millis(1)) == std::vector{PeerB}));
 }
 
 // If all peers are slow, the own link is the slow one. Requests to other peers
 // would congest it and delay the answers of callers.
 BOOST_AUTO_TEST_CASE(ASlowOwnLinkIsNotCongested) {
-  Host One("w0", LinkMegabits);
-  One.want(makeSmallChunks({"a", "b", "c"}));
-  One.have(PeerA, 1);
-  BOOST_TEST((One.asked() == std::vector{PeerA}));
+  TransferHost One("w0", LinkMegabits);
+  One.setWantedVersion(makeSmallChunks({"a", "b", "c"}));
+  One.receiveHeldChunks(PeerA, 1);
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerA}));
   One.Now += Millis(200);
-  One.give(PeerA, "a", "a"); // Slow.
-  One.have(PeerA, 7);
-  One.have(PeerB, 7);
-  BOOST_TEST(One.asked().size() == 1U);
-  BOOST_TEST((One.asked(Millis(500)) == None));
+  One.receiveChunk(PeerA, "a", "a"); // Slow.
+  One.receiveHeldChunks(PeerA, 7);
+  One.receiveHeldChunks(PeerB, 7);
+  BOOST_TEST(One.advanceAndListAskedPeers().size() == 1U);
+  BOOST_TEST((One.advanceAndListAskedPeers(Millis(500)) == NoLinks));
 }
 
 // The host that fetches a chunk from the origin has a slow link, but is alive
 // and announces the chunk, so that all hosts would wait for it. Once most
 // chunks are available, the next ranks fetch the overdue one as well.
 BOOST_AUTO_TEST_CASE(AnOverdueChunkIsFetchedByTheNextRank) {
-  Host One;
-  const ModelVersion Model = version({"a", "b", "c", "d"});
-  One.want(Model);
-  One.asked(Millis(500)); // Fetches its own chunk.
+  TransferHost One;
+  const ModelVersion Model = makeModelVersion({"a", "b", "c", "d"});
+  One.setWantedVersion(Model);
+  One.advanceAndListAskedPeers(Millis(500)); // Fetches its own chunk.
   const size_t Own = One.Transfer.Plan.Self;
   const size_t Late =
       (Own + 3) % 4; // To be fetched by the host before this one.
   const auto Others = static_cast<uint8_t>(0xFU & ~(1U << Late));
-  One.have(PeerA, Others, static_cast<uint8_t>(1U << Late));
-  One.asked();
+  One.receiveHeldChunks(PeerA, Others, static_cast<uint8_t>(1U << Late));
+  One.advanceAndListAskedPeers();
   size_t Waited = 0;
-  while (One.drawn() == 0 && Waited < 5000) {
-    One.asked(Millis(50));
+  while (One.originFetchCount() == 0 && Waited < 5000) {
+    One.advanceAndListAskedPeers(Millis(50));
     // Other chunks still arrive, so that the time without news does not count.
     One.Transfer.LastNewsAt = One.Now;
     Waited += 50;
@@ -82,13 +82,13 @@
 // all others, and after the outage the origin sent four copies of every chunk,
 // which took twice as long as one.
 BOOST_AUTO_TEST_CASE(AnOriginOutageDoesNotMakeHostsTakeOverAllChunks) {
-  Host One;
-  const ModelVersion Model = version({"a", "b", "c", "d"});
-  One.want(Model);
+  TransferHost One;
+  const ModelVersion Model = makeModelVersion({"a", "b", "c", "d"});
+  One.setWantedVersion(Model);
   const size_t Own = One.Transfer.Plan.Self;
   size_t Takeovers = 0;
   for (int n = 0; n < 100; ++n) { // Five seconds.
-    One.asked(Millis(50));
+    One.advanceAndListAskedPeers(Millis(50));
     for (const Effect &Did : std::vector<Effect>(One.Out)) {
       const auto *Fetch = std::get_if<FetchFromOrigin>(&Did);
       if (Fetch == nullptr)
--- a/tests/unit/transfer_test.cpp
+++ b/tests/unit/transfer_test.cpp
@@ -11,15 +11,15 @@
 // Guards against answers from damaged weights: a bit of a chunk flips in a
 // peer's memory or on the network, which only the digest shows.
 BOOST_AUTO_TEST_CASE(ABadChunkIsDroppedAndFetchedElsewhere) {
-  Host One;
-  One.want(version({"a"}));
-  One.have(PeerA, 1);
-  BOOST_TEST((One.asked() == std::vector{PeerA}));
-  One.have(PeerB, 1);
-  One.give(PeerA, "a", "b");
+  TransferHost One;
+  One.setWantedVersion(makeModelVersion({"a"}));
+  One.receiveHeldChunks(PeerA, 1);
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerA}));
+  One.receiveHeldChunks(PeerB, 1);
+  One.receiveChunk(PeerA, "a", "b");
   BOOST_TEST(One.Weights.Held.empty());
-  BOOST_TEST((One.asked() == std::vector{PeerB}));
-  One.give(PeerB, "a", "a");
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerB}));
+  One.receiveChunk(PeerB, "a", "a");
   BOOST_TEST(isWantedSetComplete(One.Weights));
   BOOST_TEST(One.Transfer.Counters.BadChunks == 1U);
 }
@@ -27,47 +27,47 @@
 // Guards against workers that wait forever: the only peer with a request
 // freezes, or its uplink is stuck while its heartbeats still arrive.
 BOOST_AUTO_TEST_CASE(AStalledPeerIsReplacedByAnother) {
-  Host One;
-  One.want(version({"a"}));
-  One.have(PeerA, 1);
-  BOOST_TEST((One.asked() == std::vector{PeerA}));
-  One.have(PeerB, 1);
-  BOOST_TEST((One.asked(Millis(3000)) == None));
-  BOOST_TEST((One.asked(Millis(1000)) == std::vector{PeerB}));
+  TransferHost One;
+  One.setWantedVersion(makeModelVersion({"a"}));
+  One.receiveHeldChunks(PeerA, 1);
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerA}));
+  One.receiveHeldChunks(PeerB, 1);
+  BOOST_TEST((One.advanceAndListAskedPeers(Millis(3000)) == NoLinks));
+  BOOST_TEST((One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerB}));
   chunkPeerGone(One.Transfer, PeerB, One.Now);
-  BOOST_TEST((One.asked(Millis(1000)) == std::vector{PeerA}));
+  BOOST_TEST((One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerA}));
 }
 
 // A change of version is reverted during the transfer. No chunk of the new
 // version may be mixed in, and chunks already held must not be fetched again.
 BOOST_AUTO_TEST_CASE(AVersionRevertedInMidTransferKeepsItsChunks) {
-  Host One;
-  const ModelVersion Old = version({"a", "b"});
-  const ModelVersion New = version({"a", "c"});
-  One.want(Old);
-  One.have(PeerA, 3);
-  One.asked();
-  One.give(PeerA, "a", "a");
-  One.give(PeerA, "b", "b");
+  TransferHost One;
+  const ModelVersion Old = makeModelVersion({"a", "b"});
+  const ModelVersion New = makeModelVersion({"a", "c"});
+  One.setWantedVersion(Old);
+  One.receiveHeldChunks(PeerA, 3);
+  One.advanceAndListAskedPeers();
+  One.receiveChunk(PeerA, "a", "a");
+  One.receiveChunk(PeerA, "b", "b");
   One.Weights.Loaded = Old.Set;
-  One.want(New);
+  One.setWantedVersion(New);
   BOOST_TEST(One.Transfer.Missing.size() == 1U); // "a" is in both.
-  One.have(PeerB, 3);
-  BOOST_TEST((One.asked() == std::vector{PeerB}));
-  One.want(Old);
+  One.receiveHeldChunks(PeerB, 3);
+  BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerB}));
+  One.setWantedVersion(Old);
   BOOST_TEST(isWantedSetComplete(One.Weights));
-  One.give(PeerB, "c", "c"); // Late; not in a wanted set.
+  One.receiveChunk(PeerB, "c", "c"); // Late; not in a wanted set.
   BOOST_TEST(!One.Weights.Held.contains(sha256("c")));
-  BOOST_TEST((One.asked() == None));
+  BOOST_TEST((One.advanceAndListAskedPeers() == NoLinks));
 }
 
 BOOST_AUTO_TEST_CASE(MemoryHoldsTwoSetsAtMost) {
-  Host One;
+  TransferHost One;
   for (const std::string Text : {"a", "b", "c", "d"}) {
-    One.want(version({Text}));
-    One.have(PeerA, 1);
-    One.asked(Millis(10));
-    One.give(PeerA, Text, Text);
+    One.setWantedVersion(makeModelVersion({Text}));
+    One.receiveHeldChunks(PeerA, 1);
+    One.advanceAndListAskedPeers(Millis(10));
+    One.receiveChunk(PeerA, Text, Text);
     BOOST_TEST(One.Weights.Held.size() <= 2U);
   }
   dropPreviousChunks(One.Weights);
@@ -80,21 +80,21 @@
 BOOST_AUTO_TEST_CASE(RanksFetchFromTheOriginInTurn) {
   size_t AtOnce = 0;
   for (const std::string Name : {"w0", "w1", "w2", "w3"}) {
-    Host One(Name);
-    One.want(version({"a"}));
-    One.asked();
-    BOOST_TEST(One.drawn() == 0U); // Links may still be opening.
-    One.asked(Millis(500));
+    TransferHost One(Name);
+    One.setWantedVersion(makeModelVersion({"a"}));
+    One.advanceAndListAskedPeers();
+    BOOST_TEST(One.originFetchCount() == 0U); // Links may still be opening.
+    One.advanceAndListAskedPeers(Millis(500));
     size_t Waited = 500;
-    if (One.drawn() > 0)
+    if (One.originFetchCount() > 0)
       ++AtOnce;
     else
-      One.have(PeerA, 0, 1);
-    while (One.drawn() == 0 && Waited < 20000) {
-      One.asked(Millis(500));
+      One.receiveHeldChunks(PeerA, 0, 1);
+    while (One.originFetchCount() == 0 && Waited < 20000) {
+      One.advanceAndListAskedPeers(Millis(500));
       Waited += 500;
       if (Waited < 4000)
-        BOOST_TEST(One.drawn() == 0U);
+        BOOST_TEST(One.originFetchCount() == 0U);
     }
     BOOST_TEST(Waited <= 7500U);
   }
@@ -104,41 +104,41 @@
 // The host that fetches a chunk from the origin dies. The next rank has to take
 // over when the link is lost, even while other chunks still arrive.
 BOOST_AUTO_TEST_CASE(TheNextRankTakesOverFromADeadHost) {
-  Host One;
-  One.want(version({"a", "b", "c", "d"}));
-  One.asked(Millis(500)); // Fetches its own chunk.
+  TransferHost One;
+  One.setWantedVersion(makeModelVersion({"a", "b", "c", "d"}));
+  One.advanceAndListAskedPeers(Millis(500)); // Fetches its own chunk.
   const auto &Hosts = One.Transfer.Plan.Hosts;
   const size_t Before =
       (One.Transfer.Plan.Self + Hosts.size() - 1) % Hosts.size();
   chunkPeerReady(One.Transfer, PeerA, Hosts[Before].Name, true);
   chunkPeerGone(One.Transfer, PeerA, One.Now);
-  One.have(PeerB, 1U << ((Before + 2) % 4));
-  One.asked(Millis(900));
-  BOOST_TEST(One.drawn() == 0U);
-  One.asked(Millis(99));
-  BOOST_TEST(One.drawn() == 0U);
-  One.asked(Millis(1));
-  BOOST_TEST(One.drawn() == 1U);
+  One.receiveHeldChunks(PeerB, 1U << ((Before + 2) % 4));
+  One.advanceAndListAskedPeers(Millis(900));
+  BOOST_TEST(One.originFetchCount() == 0U);
+  One.advanceAndListAskedPeers(Millis(99));
+  BOOST_TEST(One.originFetchCount() == 0U);
+  One.advanceAndListAskedPeers(Millis(1));
+  BOOST_TEST(One.originFetchCount() == 1U);
 }
 
 // Guards against a sender whose memory grows with the backlog of a slow
 // receiver.
 BOOST_AUTO_TEST_CASE(BacklogDelaysUploads) {
-  Host One;
-  One.want(version({"a"}));
-  One.Weights.Held[sha256("a")] = content("a");
+  TransferHost One;
+  One.setWantedVersion(makeModelVersion({"a"}));
+  One.Weights.Held[sha256("a")] = makeChunkBytes("a");
   One.Transfer.Peers[PeerA].BacklogBytes = 5 << 20;
   for (int n = 0; n < 20; ++n)
     chunkRequested(One.Transfer, One.Weights, PeerA, {sha256("a")}, One.Out);
   BOOST_TEST(One.Transfer.Uploads.size() == 8U);
-  One.asked();
+  One.advanceAndListAskedPeers();
   BOOST_TEST(One.Transfer.Uploads.size() == 8U);
   One.Transfer.Peers[PeerA].BacklogBytes = 0;
   One.Transfer.Peers[PeerB].BacklogBytes = 65 << 20;
-  One.asked();
+  One.advanceAndListAskedPeers();
   BOOST_TEST(One.Transfer.Uploads.size() == 8U);
   One.Transfer.Peers[PeerB].BacklogBytes = 0;
-  One.asked();
+  One.advanceAndListAskedPeers();
   BOOST_TEST(One.Transfer.Uploads.empty());
 }
 
