--- a/bench/chaos/route_checks.cpp
+++ b/bench/chaos/route_checks.cpp
@@ -35,7 +35,7 @@
 bool isStream(const std::string &Path) { return Path.starts_with("/write/"); }
 bool isBooking(const std::string &Path) { return Path.starts_with("/book/"); }
 
-std::string tenantOf(const std::string &Key) {
+std::string workspaceOf(const std::string &Key) {
   return Key == "key-3" ? "clubs" : "huts";
 }
 
@@ -163,9 +163,9 @@
   Runs[Run.Attempt].push_back(Run);
   if (Run.Method != Asked->Method || Run.Path != Asked->Path ||
       Run.Body != Asked->Body || Run.HasKey ||
-      Run.Tenant != tenantOf(Asked->Key))
+      Run.Workspace != workspaceOf(Asked->Key))
     broken("changed on its way: " + describe(Run) + " with " + Run.Path + " '" +
-           Run.Body + "' " + Run.Tenant + "; " + describe(*Asked));
+           Run.Body + "' " + Run.Workspace + "; " + describe(*Asked));
   if (isBooking(Run.Path) && ++Bookings[Run.Body] > 1)
     broken("booked twice: " + describe(Run) + "; " + describe(*Asked));
   if (Asked->Over && Asked->isPromise())
--- a/bench/chaos/route_checks.h
+++ b/bench/chaos/route_checks.h
@@ -24,7 +24,7 @@
   std::string Method;  ///< What it got.
   std::string Path;    ///< What it got.
   std::string Body;    ///< What it got.
-  std::string Tenant;  ///< Tenant that it was told.
+  std::string Workspace;  ///< Tenant that it was told.
   bool HasKey = false; ///< Whether the caller's key came with it.
 };
 
--- a/bench/fleet/fleet.cpp
+++ b/bench/fleet/fleet.cpp
@@ -59,17 +59,17 @@
   }
   std::string get(const Ask &What) {
     const std::lock_guard Lock(Guard);
-    const auto it = Tokens.find({What.Class, What.Tenant, What.Key});
+    const auto it = Tokens.find({What.Class, What.Workspace, What.Key});
     return it == Tokens.end() ? "" : it->second;
   }
   void put(const Ask &What, const std::string &Token) {
     const std::lock_guard Lock(Guard);
-    Tokens[{What.Class, What.Tenant, What.Key}] = Token;
+    Tokens[{What.Class, What.Workspace, What.Key}] = Token;
   }
   /** Keeps the first of two tokens that two threads asked for. */
   std::string putFirst(const Ask &What, const std::string &Token) {
     const std::lock_guard Lock(Guard);
-    return Tokens.try_emplace({What.Class, What.Tenant, What.Key}, Token)
+    return Tokens.try_emplace({What.Class, What.Workspace, What.Key}, Token)
         .first->second;
   }
 
@@ -367,7 +367,7 @@
   httplib::Client Client("http://" + At);
   Client.set_read_timeout(CallerTimeout);
   Client.set_tcp_nodelay(true);
-  httplib::Headers Headers = {{"X-Tenant", What.Tenant}};
+  httplib::Headers Headers = {{"X-Tenant", What.Workspace}};
   if (!What.Key.empty())
     Headers.emplace("Idempotency-Key", What.Key);
   if (!What.Key.empty() && !What.Tokenless) {
--- a/bench/fleet/open_load.cpp
+++ b/bench/fleet/open_load.cpp
@@ -19,7 +19,7 @@
                 Clock::time_point Start) {
   const Ask Next = What.Next(n);
   Offered One;
-  One.Tenant = Next.Tenant;
+  One.Workspace = Next.Workspace;
   One.Begin = secondsSince(Start);
   const Answer Got = To.ask(n % To.Plan.Entries, Next);
   One.End = secondsSince(Start);
@@ -62,7 +62,7 @@
   size_t Sent = 0;
   size_t Good = 0;
   for (const Offered &One : All) {
-    if ((One.Tenant == Large) != OfLarge)
+    if ((One.Workspace == Large) != OfLarge)
       continue;
     ++Sent;
     Good += One.Status == 200 ? 1 : 0;
--- a/bench/fleet/open_load.h
+++ b/bench/fleet/open_load.h
@@ -21,7 +21,7 @@
 
 /** What became of one request. */
 struct Offered {
-  std::string Tenant; ///< Whose.
+  std::string Workspace; ///< Whose.
   int Status = 0;     ///< HTTP status.
   double Begin = 0;   ///< Seconds since the start when it was sent.
   double End = 0;     ///< Seconds since the start when its answer came.
--- a/bench/fleet/overload_plan.h
+++ b/bench/fleet/overload_plan.h
@@ -8,11 +8,11 @@
 namespace jacinthpond::fleet {
 
 /** Name of the tenant that offers most of the load. */
-inline const std::string LargeTenant = "large";
+inline const std::string LargeWorkspace = "large";
 /** Requests of each small tenant for every hundred offered. */
 constexpr size_t SmallPercent = 5;
 /** Number of small tenants. */
-constexpr size_t SmallTenants = 4;
+constexpr size_t SmallWorkspaces = 4;
 /** Answers a second that the engines of the plan cannot exceed. */
 constexpr double OverloadCapacity = 40;
 
@@ -39,8 +39,8 @@
 inline Ask overloadAsk(size_t n) {
   Ask What;
   const size_t Slot = n % (100 / SmallPercent);
-  What.Tenant =
-      Slot < SmallTenants ? "small-" + std::to_string(Slot) : LargeTenant;
+  What.Workspace =
+      Slot < SmallWorkspaces ? "small-" + std::to_string(Slot) : LargeWorkspace;
   What.Body = {{"prompt", "report " + std::to_string(n)}, {"max_tokens", 20}};
   return What;
 }
--- a/packages/adapters/cli/command_line.cpp
+++ b/packages/adapters/cli/command_line.cpp
@@ -44,7 +44,7 @@
 } // namespace
 
 std::optional<std::vector<std::string>>
-readCommandLine(const std::string &Program, const std::string &Usage,
+parseCommandLine(const std::string &Program, const std::string &Usage,
                 const std::vector<CommandOption> &Options, int Count,
                 const char **Arguments) {
   const std::vector<poptOption> Table = poptTable(Options);
--- a/packages/adapters/cli/command_line.h
+++ b/packages/adapters/cli/command_line.h
@@ -31,7 +31,7 @@
  * @return The positional arguments; nothing after an error.
  */
 std::optional<std::vector<std::string>>
-readCommandLine(const std::string &Program, const std::string &Usage,
+parseCommandLine(const std::string &Program, const std::string &Usage,
                 const std::vector<CommandOption> &Options, int Count,
                 const char **Arguments);
 
--- a/packages/adapters/codec/message_codec.cpp
+++ b/packages/adapters/codec/message_codec.cpp
@@ -37,7 +37,7 @@
 template <> constexpr uint64_t EnumSize<Role> = 2;
 template <> constexpr uint64_t EnumSize<WorkerState> = 5;
 template <> constexpr uint64_t EnumSize<Ran> = 3;
-template <> constexpr uint64_t EnumSize<AttemptKnown> = 4;
+template <> constexpr uint64_t EnumSize<KnownAttemptState> = 4;
 template <>
 constexpr uint64_t
     EnumSize<ErrorKind> = static_cast<uint64_t>(ErrorKind::Count);
--- a/packages/adapters/http/http_backends.cpp
+++ b/packages/adapters/http/http_backends.cpp
@@ -125,14 +125,14 @@
   return fail(ErrorKind::NotFound, "this engine gives nothing back");
 }
 
-Result<void> HttpEngine::load(const LoadOrder &Order, const LoadSteps &Steps) {
+Result<void> HttpEngine::load(const LoadOrder &Order, const LoadCallbacks &Steps) {
   httplib::Client Client = makeClient(Url, {ConnectTimeout, LongTimeout});
   Json Body = {{"fence", Order.Fence.Value},
                {"set", Order.Set.Value},
                {"chunks", Json::array()}};
   for (const Digest &Chunk : Order.Chunks)
     Body["chunks"].push_back(Chunk.Value);
-  BOOST_LEAF_CHECK(Steps.LastLook());
+  BOOST_LEAF_CHECK(Steps.VerifyStaged());
   // This engine answers only when it has loaded, so Taken could not be called
   // earlier. It identifies chunks by their digests only.
   const httplib::Result Answer =
--- a/packages/adapters/http/http_server.cpp
+++ b/packages/adapters/http/http_server.cpp
@@ -99,8 +99,8 @@
 
 std::string errorBody(const Failure &Why, Ran Executed,
                       const RequestId &Request,
-                      const std::vector<Address> &Elsewhere) {
-  const ErrorAnswer &Row = answerFor(Why.Kind);
+                      const std::vector<Address> &AlternativeEntries) {
+  const ErrorAnswer &Row = errorAnswerFor(Why.Kind);
   Json Error = {{"kind", Row.Name},
                 {"message", Row.Text},
                 {"ran", ranName(Executed)},
@@ -108,7 +108,7 @@
   if (!Why.Detail.empty())
     Error["detail"] = Why.Detail;
   Json Body = {{"error", Error}};
-  for (const Address &At : Elsewhere)
+  for (const Address &At : AlternativeEntries)
     Body["entries"].push_back(At.Value);
   if (!Request.Value.empty())
     Body["request_id"] = Request.Value;
@@ -117,13 +117,13 @@
 
 void writeError(httplib::Response &Answer, const Failure &Why, Ran Executed,
                 const RequestId &Request,
-                const std::vector<Address> &Elsewhere) {
-  Answer.status = answerFor(Why.Kind).HttpStatus;
+                const std::vector<Address> &AlternativeEntries) {
+  Answer.status = errorAnswerFor(Why.Kind).HttpStatus;
   const Millis After = retryAfter(Why);
   if (After.count() > 0) // The header has whole seconds, rounded up.
     Answer.set_header("Retry-After",
                       std::to_string((After.count() + 999) / 1000));
-  Answer.set_content(errorBody(Why, Executed, Request, Elsewhere),
+  Answer.set_content(errorBody(Why, Executed, Request, AlternativeEntries),
                      "application/json");
 }
 
--- a/packages/adapters/http/http_server.h
+++ b/packages/adapters/http/http_server.h
@@ -64,7 +64,7 @@
  */
 void writeError(httplib::Response &Answer, const Failure &Why, Ran Executed,
                 const RequestId &Request,
-                const std::vector<Address> &Elsewhere = {});
+                const std::vector<Address> &AlternativeEntries = {});
 
 /**
  * Gives the body of an error answer, a JSON object.
@@ -76,7 +76,7 @@
  */
 std::string errorBody(const Failure &Why, Ran Executed,
                       const RequestId &Request,
-                      const std::vector<Address> &Elsewhere = {});
+                      const std::vector<Address> &AlternativeEntries = {});
 
 } // namespace jacinthpond
 
--- a/packages/adapters/http/request_receiver.cpp
+++ b/packages/adapters/http/request_receiver.cpp
@@ -35,7 +35,7 @@
 /** Gives the complete HTTP response for a refused request. */
 std::string refusalText(const Failure &Why) {
   const std::string Body = errorBody(Why, Ran::No, {});
-  return "HTTP/1.1 " + std::to_string(answerFor(Why.Kind).HttpStatus) +
+  return "HTTP/1.1 " + std::to_string(errorAnswerFor(Why.Kind).HttpStatus) +
          " Refused\r\nContent-Type: application/json\r\nContent-Length: " +
          std::to_string(Body.size()) + "\r\nConnection: close\r\n\r\n" + Body;
 }
--- a/packages/adapters/metrics/metrics_page.cpp
+++ b/packages/adapters/metrics/metrics_page.cpp
@@ -16,7 +16,7 @@
 using prometheus::ClientMetric;
 using prometheus::MetricFamily;
 
-constexpr const char *TenantLabel = "tenant";
+constexpr const char *WorkspaceLabel = "tenant";
 constexpr const char *ClassLabel = "class";
 
 /** Gives the value of a series' label; empty when it has none. */
@@ -36,12 +36,12 @@
 }
 
 /** Sums a family of histograms over its workspaces. */
-MetricFamily sumTenants(const MetricFamily &All) {
+MetricFamily sumWorkspaces(const MetricFamily &All) {
   MetricFamily Summed = All;
   Summed.metric.clear();
   for (ClientMetric Series : All.metric) {
     std::erase_if(Series.label, [](const ClientMetric::Label &One) {
-      return One.name == TenantLabel;
+      return One.name == WorkspaceLabel;
     });
     const auto it =
         std::ranges::find(Summed.metric, Series.label, &ClientMetric::label);
@@ -55,14 +55,14 @@
 
 /** Says whether a team may see the workspace and the class of a series. */
 bool maySeeSeries(const TeamAccess &Access, const ClientMetric &Series) {
-  return seesTenant(Access, TenantName{labelValue(Series, TenantLabel)}) &&
-         seesClass(Access, ClassName{labelValue(Series, ClassLabel)});
+  return canSeeWorkspace(Access, WorkspaceName{labelValue(Series, WorkspaceLabel)}) &&
+         canSeeClass(Access, ClassName{labelValue(Series, ClassLabel)});
 }
 
 /** Says whether the series of a family have a workspace label. */
-bool namesTenants(const MetricFamily &Family) {
+bool namesWorkspaces(const MetricFamily &Family) {
   return !Family.metric.empty() &&
-         !labelValue(Family.metric.front(), TenantLabel).empty();
+         !labelValue(Family.metric.front(), WorkspaceLabel).empty();
 }
 
 } // namespace
@@ -89,23 +89,23 @@
                     const std::map<ErrorKind, uint64_t> &Counts) {
   std::vector<LabelledValue> Values(Counts.size());
   std::ranges::transform(Counts, Values.begin(), [](const auto &Row) {
-    return LabelledValue{{{"kind", answerFor(Row.first).Name}},
+    return LabelledValue{{{"kind", errorAnswerFor(Row.first).Name}},
                          static_cast<double>(Row.second)};
   });
   addFamily(Into, prometheus::MetricType::Counter, Spec, Values);
 }
 
-MetricFamilies visibleTo(const MetricFamilies &All, const Document *Doc,
+MetricFamilies filterVisibleMetrics(const MetricFamilies &All, const Document *Doc,
                          const std::string &Authorization) {
-  const auto Access = outcomeOf([&] { return accessOf(Doc, Authorization); });
+  const auto Access = outcomeOf([&] { return authenticateTeam(Doc, Authorization); });
   MetricFamilies Shown;
   for (const MetricFamily &Family : All) {
-    if (!namesTenants(Family)) {
+    if (!namesWorkspaces(Family)) {
       Shown.push_back(Family);
       continue;
     }
     if (!Access.Value) {
-      Shown.push_back(sumTenants(Family));
+      Shown.push_back(sumWorkspaces(Family));
       continue;
     }
     MetricFamily Own = Family;
--- a/packages/adapters/metrics/metrics_page.h
+++ b/packages/adapters/metrics/metrics_page.h
@@ -60,7 +60,7 @@
  * @return Series of the workspaces and classes that the reader's team may see;
  *         sums over workspaces for a reader without a valid token.
  */
-MetricFamilies visibleTo(const MetricFamilies &All, const Document *Doc,
+MetricFamilies filterVisibleMetrics(const MetricFamilies &All, const Document *Doc,
                          const std::string &Authorization);
 
 /**
--- a/packages/adapters/metrics/traffic_metrics.cpp
+++ b/packages/adapters/metrics/traffic_metrics.cpp
@@ -26,18 +26,18 @@
 } // namespace
 
 TrafficMetrics::Labels TrafficMetrics::labelsFor(const Document *Doc,
-                                                 const TenantName &Tenant,
+                                                 const WorkspaceName &Workspace,
                                                  const ClassName &Class) const {
   if (Doc == nullptr)
     return {OtherLabel, OtherLabel};
-  return {limitedLabel(Doc->Tenants, Tenant, MaxTenantLabels),
+  return {limitedLabel(Doc->Workspaces, Workspace, MaxWorkspaceLabels),
           limitedLabel(Doc->Classes, Class, MaxClassLabels)};
 }
 
 void TrafficMetrics::observe(Timing Kind, const Document *Doc,
-                             const TenantName &Tenant, const ClassName &Class,
+                             const WorkspaceName &Workspace, const ClassName &Class,
                              Seconds Duration) {
-  observeSeries(labelsFor(Doc, Tenant, Class), Kind, Duration);
+  observeSeries(labelsFor(Doc, Workspace, Class), Kind, Duration);
 }
 
 void TrafficMetrics::observeService(Timing Kind, const std::string &Service,
@@ -50,7 +50,7 @@
   // Later documents bring other names, and series are never removed: without
   // this limit, their number would grow with each new name.
   if (!SeriesByLabels.contains(Key) &&
-      SeriesByLabels.size() >= MaxTenantLabels * MaxClassLabels)
+      SeriesByLabels.size() >= MaxWorkspaceLabels * MaxClassLabels)
     Key = {OtherLabel, OtherLabel};
   prometheus::Histogram *&Series =
       SeriesByLabels.try_emplace(Key).first->second.at(
--- a/packages/adapters/metrics/traffic_metrics.h
+++ b/packages/adapters/metrics/traffic_metrics.h
@@ -21,7 +21,7 @@
 namespace jacinthpond {
 
 /** Workspaces with series of their own; all others share one. */
-constexpr size_t MaxTenantLabels = 64;
+constexpr size_t MaxWorkspaceLabels = 64;
 /** Classes with series of their own; all others share one. */
 constexpr size_t MaxClassLabels = 32;
 /** Label of the shared series. */
@@ -42,7 +42,7 @@
    * @param Class Class of the request.
    * @param Duration Measured duration.
    */
-  void observe(Timing Kind, const Document *Doc, const TenantName &Tenant,
+  void observe(Timing Kind, const Document *Doc, const WorkspaceName &Workspace,
                const ClassName &Class, Seconds Duration);
 
   /**
@@ -71,7 +71,7 @@
   /** Records a duration in the series with these labels, created if needed. */
   void observeSeries(Labels Key, Timing Kind, Seconds Duration);
   /** Gives the labels of a request, with names beyond the limits as "other". */
-  Labels labelsFor(const Document *Doc, const TenantName &Tenant,
+  Labels labelsFor(const Document *Doc, const WorkspaceName &Workspace,
                    const ClassName &Class) const;
 
   prometheus::Registry Registry;
--- a/packages/adapters/threads/process.cpp
+++ b/packages/adapters/threads/process.cpp
@@ -90,7 +90,7 @@
                                                : SignalAction::Reload;
 }
 
-void waitForStop(const std::string &Path, SettingOwner Program,
+void reloadSettingsUntilStop(const std::string &Path, SettingOwner Program,
                  const std::function<void(const Settings &)> &Apply) {
   const auto ReadText = [&] {
     return outcomeOf([&] { return readFile(Path); }).Value.value_or("");
--- a/packages/adapters/threads/process.h
+++ b/packages/adapters/threads/process.h
@@ -67,7 +67,7 @@
  * @param Program The program that the settings are for.
  * @param Apply Called with each new valid version of the settings.
  */
-void waitForStop(const std::string &Path, SettingOwner Program,
+void reloadSettingsUntilStop(const std::string &Path, SettingOwner Program,
                  const std::function<void(const Settings &)> &Apply);
 
 /**
--- a/packages/agent/src/agent_admin.cpp
+++ b/packages/agent/src/agent_admin.cpp
@@ -46,7 +46,7 @@
       Doc = State.View.InForce;
     });
     Answer.set_content(
-        metricsText(visibleTo(All, Doc.get(),
+        metricsText(filterVisibleMetrics(All, Doc.get(),
                               Request.get_header_value("Authorization"))),
         "text/plain; version=0.0.4");
   });
--- a/packages/agent/src/agent_metrics.cpp
+++ b/packages/agent/src/agent_metrics.cpp
@@ -58,7 +58,7 @@
   addFamily(Into, MetricType::Counter,
             {"jacinthpond_agent_load_orders_total",
              "Load orders given to the engine."},
-            unlabelledValue(static_cast<double>(Agent.Weights.OrdersGiven)));
+            unlabelledValue(static_cast<double>(Agent.Weights.OrdersSent)));
 }
 
 } // namespace
--- a/packages/agent/src/agent_shell.cpp
+++ b/packages/agent/src/agent_shell.cpp
@@ -59,17 +59,17 @@
       State(makeAgent(Config, Incarnation{randomIncarnation()}, Clock.now())),
       Ports(Ports),
       Runners(std::make_unique<httplib::ThreadPool>(
-          runsOnStore(Config) ? 1 // Requests do not pass through the agent.
+          isOnStorePlatform(Config) ? 1 // Requests do not pass through the agent.
                               : static_cast<size_t>(Config.WarmLimit))),
       Fetchers(std::make_unique<httplib::ThreadPool>(FetchThreadCount)),
       Links({[this](LinkId Link) {
                post([this, Link](TimePoint Now, Effects &Out) {
-                 agentLinkOpened(State, Link, Now, Out);
+                 handleAgentLinkOpened(State, Link, Now, Out);
                });
              },
              [this](LinkId Link) {
                post([this, Link](TimePoint Now, Effects &) {
-                 agentLinkClosed(State, Link, Now);
+                 handleAgentLinkClosed(State, Link, Now);
                });
              },
              [this](LinkId Link, Message m) {
@@ -79,7 +79,7 @@
                }
                post([this, Link, Kept = std::move(m)](TimePoint Now,
                                                       Effects &Out) {
-                 agentMessage(State, Link, Kept, Now, Out);
+                 handleAgentMessage(State, Link, Kept, Now, Out);
                });
              },
              [this](LinkId Link, const Failure &Why) {
@@ -88,7 +88,7 @@
                        "Unreadable frame; link dropped: " + Why.Detail);
                Links.close(Link);
                post([this, Link](TimePoint Now, Effects &) {
-                 agentLinkClosed(State, Link, Now);
+                 handleAgentLinkClosed(State, Link, Now);
                });
              }}) {}
 
@@ -113,11 +113,11 @@
       Effects Out;
       for (const auto &[Link, Peer] : State.Transfer.Peers)
         if (Peer.BacklogBytes > 0)
-          linkBacklog(State, Link, Links.backlog(Link));
-      agentTick(State, Now, Out);
+          setLinkBacklog(State, Link, Links.backlog(Link));
+      handleAgentTick(State, Now, Out);
       const bool IsUploading = !State.Transfer.Uploads.empty();
       Loop.setPeriod(IsUploading ? UploadTickPeriod : TickPeriod);
-      tellLoad(State, Out);
+      attachCurrentLoad(State, Out);
       perform(std::move(Out));
     });
   });
@@ -128,9 +128,9 @@
 void AgentShell::post(std::function<void(TimePoint, Effects &)> Work) {
   Loop.post([this, Kept = std::move(Work)](TimePoint Now) {
     Effects Out;
-    agentNoticePause(State, Now, Out);
+    detectAgentPause(State, Now, Out);
     Kept(Now, Out);
-    tellLoad(State, Out);
+    attachCurrentLoad(State, Out);
     perform(std::move(Out));
   });
 }
@@ -143,7 +143,7 @@
             [this](const CloseLink &e) { Links.close(e.Link); },
             [this](const SendMessage &e) {
               if (const auto *Frame = std::get_if<AnswerFrame>(&e.Content))
-                answerSent(State, e.Link, Frame->Data.size(), Clock.now());
+                countAnswerBytes(State, e.Link, Frame->Data.size(), Clock.now());
               Links.send(e.Link, e.Content);
             },
             [this](const RunModel &e) {
@@ -169,14 +169,14 @@
               Fetchers->enqueue(
                   [this, Version = e.Version] { readChunkList(Version); });
             },
-            [this](const ReadStaged &e) {
+            [this](const FindStagedChunks &e) {
               Fetchers->enqueue(
                   [this, Chunks = e.Chunks] { reportStagedChunks(Chunks); });
             },
             [this](const StageChunk &e) {
               Fetchers->enqueue([this, Todo = e] { stageChunk(Todo); });
             },
-            [this](const SendStaged &e) {
+            [this](const SendStagedChunk &e) {
               Fetchers->enqueue([this, Todo = e] { sendStaged(Todo); });
             },
             [this](const LoadWeights &e) {
@@ -197,7 +197,7 @@
   if (it == State.Attempts.end())
     return;
   const Attempt &One = it->second;
-  Timings.observe(Timing::Queued, State.View.InForce.get(), One.StartMessage.Tenant,
+  Timings.observe(Timing::Queued, State.View.InForce.get(), One.StartMessage.Workspace,
                   One.StartMessage.Class, Clock.now() - One.ArrivedAt);
   logLine(LogPart::Requests, LogLevel::Debug,
           "Request " + One.StartMessage.Request.Value + ": attempt " + Which.Value +
@@ -225,14 +225,14 @@
         Request,
         [&](const Digest &Weights) {
           post([this, Which, Weights](TimePoint, Effects &Out) {
-            engineBegan(State, Which, Weights, Out);
+            handleEngineStart(State, Which, Weights, Out);
           });
           return !isCancelled(Which);
         },
         [&](std::string Token) {
           post([this, Which, Token = std::move(Token)](TimePoint Now,
                                                        Effects &Out) {
-            engineToken(State, Which, Token, Now, Out);
+            handleEngineToken(State, Which, Token, Now, Out);
           });
           return !isCancelled(Which);
         });
@@ -242,7 +242,7 @@
     Cancelled.erase(Which);
   }
   post([this, Which, End](TimePoint Now, Effects &Out) {
-    engineEnded(State, Which, End, Now, Out);
+    handleEngineEnd(State, Which, End, Now, Out);
   });
 }
 
@@ -252,7 +252,7 @@
     return Ports.Service->call(Call);
   });
   post([this, Which = Call.Attempt, Answer](TimePoint Now, Effects &Out) {
-    serviceAnswered(State, Which, Answer, Now, Out);
+    handleServiceAnswer(State, Which, Answer, Now, Out);
   });
 }
 
@@ -261,7 +261,7 @@
   if (Ports.Origin != nullptr)
     Read = outcomeOf([&] { return Ports.Origin->list(Version); });
   post([this, Version, Read](TimePoint Now, Effects &Out) {
-    chunkListRead(State, Version, Read, Now, Out);
+    handleOriginChunkList(State, Version, Read, Now, Out);
   });
 }
 
@@ -272,14 +272,14 @@
     ChunkBytes Bytes;
     if (Read.Value)
       Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
-    const CheckedChunk Received = checkChunk(Bytes);
+    const DigestedChunk Received = digestChunk(Bytes);
     // After several mismatches another version, or none, is staged.
     Mismatches = Received.Actual == Chunk.Content ? 0 : Mismatches + 1;
     if (Mismatches > MaxStagedMismatches || Ending)
       return;
     if (Mismatches == 0)
       post([this, Chunk](TimePoint Now, Effects &Out) {
-        agentStaged(State, Chunk, true, Now, Out);
+        handleStagedChunk(State, Chunk, true, Now, Out);
       });
   }
 }
@@ -292,16 +292,16 @@
   });
   post([this, Chunk = Todo.Chunk,
         Staged = Done.Value.has_value()](TimePoint Now, Effects &Out) {
-    agentStaged(State, Chunk, Staged, Now, Out);
+    handleStagedChunk(State, Chunk, Staged, Now, Out);
   });
 }
 
-void AgentShell::sendStaged(const SendStaged &Todo) {
+void AgentShell::sendStaged(const SendStagedChunk &Todo) {
   ChunkData Data;
   Data.Chunk = Todo.Chunk.Content;
   // A message without data tells the peer to ask another agent.
   if (const ChunkBytes Whole = readVerifiedChunk(Todo.Chunk))
-    takePart(*Whole, Todo.Offset, Todo.Length, Data);
+    copyChunkPart(*Whole, Todo.Offset, Todo.Length, Data);
   else
     reportDamagedChunk(Todo.Chunk.Content);
   Links.send(Todo.Link, Data);
@@ -327,7 +327,7 @@
 
 void AgentShell::reportDamagedChunk(const Digest &Chunk) {
   post([this, Chunk](TimePoint Now, Effects &Out) {
-    agentSpoilt(State, Chunk, Now, Out);
+    handleDamagedChunk(State, Chunk, Now, Out);
   });
 }
 
@@ -372,15 +372,15 @@
       Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
   }
   post([this, Content = Chunk.Content,
-        Received = checkChunk(Bytes)](TimePoint Now, Effects &Out) {
-    originAnswered(State, Content, Received, Now, Out);
+        Received = digestChunk(Bytes)](TimePoint Now, Effects &Out) {
+    handleOriginChunk(State, Content, Received, Now, Out);
   });
 }
 
 void AgentShell::receiveChunkData(LinkId Link, ChunkData Data) {
   if (Data.Bytes.empty() || Data.Bytes.size() < Data.Total) {
     post([this, Link, Kept = std::move(Data)](TimePoint Now, Effects &Out) {
-      peerSentPart(State, Link, Kept, Now, Out);
+      handlePeerChunkPart(State, Link, Kept, Now, Out);
     });
     return;
   }
@@ -389,8 +389,8 @@
     Bytes = std::make_shared<const std::string>(std::move(Data.Bytes));
   // The digest is computed on the network thread, off the control thread.
   post([this, Link, Chunk = std::move(Data.Chunk),
-        Received = checkChunk(std::move(Bytes))](TimePoint Now, Effects &Out) {
-    peerSentChunk(State, Link, Chunk, Received, Now, Out);
+        Received = digestChunk(std::move(Bytes))](TimePoint Now, Effects &Out) {
+    handlePeerChunk(State, Link, Chunk, Received, Now, Out);
   });
 }
 
@@ -410,7 +410,7 @@
             std::string("event=") + Event + " set=" + Load.Order.Set.Value +
                 " ms=" + std::to_string(toMillis(Clock.now() - Began).count()));
   };
-  LoadSteps Steps;
+  LoadCallbacks Steps;
   Steps.OnAccepted = [&]() -> Result<void> {
     LogEvent("order_taken");
     BOOST_LEAF_CHECK(confirmStaged(Load.Order));
@@ -418,7 +418,7 @@
     Lock.unlock();
     return {};
   };
-  Steps.LastLook = [&]() -> Result<void> {
+  Steps.VerifyStaged = [&]() -> Result<void> {
     if (!Lock.owns_lock()) // A forced reload takes several orders.
       Lock.lock();
     const TimePoint VerifyBegan = Clock.now();
@@ -452,7 +452,7 @@
   if (!Done.Value)
     Why = Done.Why;
   post([this, Why](TimePoint Now, Effects &Out) {
-    loadEnded(State, Why, Now, Out);
+    handleLoadResult(State, Why, Now, Out);
   });
   {
     const std::lock_guard Lock(PollGuard);
@@ -471,13 +471,13 @@
     if (Ports.Engine != nullptr) {
       const auto Read = outcomeOf([&] { return Ports.Engine->state(); });
       post([this, Read, Orders](TimePoint Now, Effects &Out) {
-        engineStateRead(State, Read, Orders, Now, Out);
+        handleEngineReport(State, Read, Orders, Now, Out);
       });
     }
     if (Ports.Service != nullptr) {
       const auto Read = outcomeOf([&] { return Ports.Service->ping(); });
       post([this, Read](TimePoint Now, Effects &Out) {
-        servicePinged(State, Read, Now, Out);
+        handleServiceProbe(State, Read, Now, Out);
       });
     }
     std::unique_lock Lock(PollGuard);
@@ -492,16 +492,16 @@
 }
 
 bool AgentShell::drain() {
-  post([this](TimePoint Now, Effects &Out) { agentStop(State, Now, Out); });
+  post([this](TimePoint Now, Effects &Out) { beginAgentShutdown(State, Now, Out); });
   const TimePoint Limit =
-      Clock.now() + shutdownTime(State.Config, ShutdownMargin);
+      Clock.now() + maxShutdownTime(State.Config, ShutdownMargin);
   size_t Open = 0;
   bool Known = false;
   do {
     std::this_thread::sleep_for(DrainPollPeriod);
     inspect([&](const AgentState &Agent, TimePoint) {
       Open = Agent.Attempts.size();
-      Known = leavingIsKnown(Agent.Fleet);
+      Known = isLeavingAcknowledged(Agent.Fleet);
     });
   } while ((Open > 0 || !Known) && Clock.now() < Limit);
   if (Open > 0)
--- a/packages/agent/src/agent_shell.h
+++ b/packages/agent/src/agent_shell.h
@@ -97,7 +97,7 @@
   /** Stages a chunk in the engine and posts whether that succeeded. */
   void stageChunk(const StageChunk &Todo);
   /** Sends a part of a staged chunk to a peer. */
-  void sendStaged(const SendStaged &Todo);
+  void sendStaged(const SendStagedChunk &Todo);
   /** Reads back a staged chunk; null when it is damaged or unreadable. */
   ChunkBytes readVerifiedChunk(const ChunkRef &Chunk);
   /** Posts that a staged chunk is damaged, so that it is fetched again. */
--- a/packages/agent/src/main.cpp
+++ b/packages/agent/src/main.cpp
@@ -28,7 +28,7 @@
   if (!Config)
     return ExitInvalid;
   beginLog(Version, *Config);
-  const bool OnStore = runsOnStore(*Config);
+  const bool OnStore = isOnStorePlatform(*Config);
   HttpEngine DirectEngine(Config->EngineUrl);
   StoreEngine WorkerEngine(Config->EngineUrl);
   EnginePort &Engine =
@@ -52,7 +52,7 @@
   }
   announceReady({{"peers", PeerAddress}, {"admin", AdminAddress}});
   // No setting of an agent can change while it runs.
-  waitForStop(SettingsPath, SettingOwner::Agent, [](const Settings &) {});
+  reloadSettingsUntilStop(SettingsPath, SettingOwner::Agent, [](const Settings &) {});
   shutDown([&] { return Shell.drain(); });
   return ExitDone;
 }
@@ -65,7 +65,7 @@
   std::string SettingsPath;
   bool PrintSettings = false;
   bool PrintVersion = false;
-  const auto Positional = readCommandLine(
+  const auto Positional = parseCommandLine(
       "jacinthpond-agent", "[OPTIONS]",
       {{"settings", 's', &SettingsPath, "FILE", "Settings file"},
        {"help-settings", 0, &PrintSettings, nullptr, "Describe all settings"},
--- a/packages/agent/src/table/agent_metric_table.h
+++ b/packages/agent/src/table/agent_metric_table.h
@@ -43,7 +43,7 @@
                         &TransferCounters::BytesFromPeers},
     TransferCounterSpec{{"jacinthpond_agent_across_bytes_total",
                          "Good chunks from agents of other domains."},
-                        &TransferCounters::BytesAcross},
+                        &TransferCounters::BytesFromOtherDomains},
     TransferCounterSpec{
         {"jacinthpond_agent_sent_bytes_total", "Chunks sent to other agents."},
         &TransferCounters::BytesSent},
--- a/packages/core/src/admission/admission.cpp
+++ b/packages/core/src/admission/admission.cpp
@@ -37,21 +37,21 @@
 }
 
 /** Gives a refusal with a retry time. */
-AdmissionAnswer refusal(const Admission &Gate) {
-  return {Admitted::Refuse, timeToComeBack(Gate), {}};
+AdmissionResult refusal(const Admission &Gate) {
+  return {AdmissionDecision::Refuse, estimateRetryAfter(Gate), {}};
 }
 
 /** Admits, queues or refuses an attempt that must run alone. */
-AdmissionAnswer requestToRunAlone(Admission &Gate, const AttemptId &Attempt) {
+AdmissionResult requestToRunAlone(Admission &Gate, const AttemptId &Attempt) {
   if (occupiedSlots(Gate) == 0 && Gate.Limit > 0) {
     ++Gate.Running;
     Gate.Alone = Attempt;
-    return {Admitted::Run, Millis{0}, {}};
+    return {AdmissionDecision::Run, Millis{0}, {}};
   }
   if (Gate.WaitingAlone.size() >= MaxWaitingAlone)
     return refusal(Gate);
   Gate.WaitingAlone.push_back(Attempt);
-  return {Admitted::Wait, Millis{0}, {}};
+  return {AdmissionDecision::Wait, Millis{0}, {}};
 }
 
 /** Completed attempts after which the current limit grows. */
@@ -92,7 +92,7 @@
   clearGaps(Gate.Pace);
 }
 
-void backEndReported(Admission &Gate, uint32_t Running, bool Cold, bool Fresh) {
+void applyBackEndReport(Admission &Gate, uint32_t Running, bool Cold, bool Fresh) {
   // The report lags and may omit attempts that started since the previous one,
   // so only attempts that ran at both reports are subtracted.
   const uint32_t Known = std::min(Gate.RunningAtReport, Gate.Running);
@@ -106,33 +106,33 @@
     applyColdLimit(Gate);
 }
 
-bool runsAtOnce(const Admission &Gate, uint32_t Kept) {
+bool canRunNow(const Admission &Gate, uint32_t Kept) {
   return Gate.Waiting.Size == 0 && mayStart(Gate) &&
          occupiedSlots(Gate) + Kept < Gate.Limit;
 }
 
-AdmissionAnswer askToRun(Admission &Gate, const Admittee &One, bool AtOnce) {
+AdmissionResult requestAdmission(Admission &Gate, const AdmissionRequest &One, bool AtOnce) {
   if (One.Alone)
     return requestToRunAlone(Gate, One.Who.Attempt);
-  if (AtOnce && runsAtOnce(Gate)) {
+  if (AtOnce && canRunNow(Gate)) {
     ++Gate.Running;
-    return {Admitted::Run, Millis{0}, {}};
+    return {AdmissionDecision::Run, Millis{0}, {}};
   }
   // An attempt whose deadline expires before its turn would only block others.
   const size_t Before = countAhead(Gate.Waiting, One.Who) + 1;
   if (timeToStart(Gate, Before) + Gate.ServiceTime > One.Remaining)
     return refusal(Gate);
-  AdmissionAnswer Answer{Admitted::Wait, Millis{0}, {}};
+  AdmissionResult Answer{AdmissionDecision::Wait, Millis{0}, {}};
   if (Gate.Waiting.Size >= Gate.Limits.Queue) {
-    Answer.PushedOut = evictForNewcomer(Gate.Waiting, One.Who);
-    if (!Answer.PushedOut)
+    Answer.EvictedAttempt = evictForNewcomer(Gate.Waiting, One.Who);
+    if (!Answer.EvictedAttempt)
       return refusal(Gate);
   }
   enqueueWaiter(Gate.Waiting, One.Who);
   return Answer;
 }
 
-void runEnded(Admission &Gate, const AttemptId &Attempt, RunEnd How,
+void recordRunEnd(Admission &Gate, const AttemptId &Attempt, RunEnd How,
               Duration Took) {
   if (How == RunEnd::Complete) {
     updateServiceTime(Gate, Took);
@@ -148,7 +148,7 @@
     Gate.Alone.reset();
 }
 
-bool tokenCame(Admission &Gate, Duration Gap) {
+bool recordTokenGap(Admission &Gate, Duration Gap) {
   recordGap(Gate.Pace, Gap, Gate.Limit >= Gate.Limits.Warm);
   if (Gate.Limit <= Gate.Limits.Cold || !isLikelyCold(Gate.Pace))
     return false;
@@ -156,7 +156,7 @@
   return true;
 }
 
-std::optional<AttemptId> nextToRun(Admission &Gate) {
+std::optional<AttemptId> admitNext(Admission &Gate) {
   if (!Gate.WaitingAlone.empty() && !Gate.Alone && occupiedSlots(Gate) == 0) {
     Gate.Alone = Gate.WaitingAlone.front();
     Gate.WaitingAlone.pop_front();
@@ -171,7 +171,7 @@
   return Next;
 }
 
-bool stopWaiting(Admission &Gate, const AttemptId &Attempt) {
+bool removeWaiting(Admission &Gate, const AttemptId &Attempt) {
   return std::erase(Gate.WaitingAlone, Attempt) > 0 ||
          removeWaiter(Gate.Waiting, Attempt);
 }
@@ -182,7 +182,7 @@
   return All;
 }
 
-Millis timeToComeBack(const Admission &Gate) {
+Millis estimateRetryAfter(const Admission &Gate) {
   if (Gate.ServiceTime.count() == 0)
     return Millis{0};
   const size_t Ahead = Gate.Waiting.Size + Gate.WaitingAlone.size() + 1;
--- a/packages/core/src/admission/admission_func.h
+++ b/packages/core/src/admission/admission_func.h
@@ -26,7 +26,7 @@
  * @param Fresh First report of this incarnation of the back end: requests that
  *   this process did not start count towards the limit.
  */
-void backEndReported(Admission &Gate, uint32_t Running, bool Cold, bool Fresh);
+void applyBackEndReport(Admission &Gate, uint32_t Running, bool Cold, bool Fresh);
 
 /**
  * Says whether a new attempt could run now, without queueing.
@@ -34,7 +34,7 @@
  * @param Kept Slots that must stay free.
  * @return True when a slot is free and no attempt is queued.
  */
-bool runsAtOnce(const Admission &Gate, uint32_t Kept = 0);
+bool canRunNow(const Admission &Gate, uint32_t Kept = 0);
 
 /**
  * Admits, queues or refuses an attempt.
@@ -43,7 +43,7 @@
  * @param AtOnce False: it is queued even if a slot is free.
  * @return The decision, with a retry time for a refusal.
  */
-AdmissionAnswer askToRun(Admission &Gate, const Admittee &One,
+AdmissionResult requestAdmission(Admission &Gate, const AdmissionRequest &One,
                          bool AtOnce = true);
 
 /** How a run ended, with regard to the load of the back end. */
@@ -60,7 +60,7 @@
  * @param How How it ended.
  * @param Took How long it ran.
  */
-void runEnded(Admission &Gate, const AttemptId &Attempt, RunEnd How,
+void recordRunEnd(Admission &Gate, const AttemptId &Attempt, RunEnd How,
               Duration Took);
 
 /**
@@ -70,14 +70,14 @@
  * @param Gap Time since the previous token.
  * @return True when the limit was lowered.
  */
-bool tokenCame(Admission &Gate, Duration Gap);
+bool recordTokenGap(Admission &Gate, Duration Gap);
 
 /**
  * Dequeues the next attempt that may run, and counts it as running.
  * @param Gate State to change.
  * @return The attempt, or nothing when none may run now.
  */
-std::optional<AttemptId> nextToRun(Admission &Gate);
+std::optional<AttemptId> admitNext(Admission &Gate);
 
 /**
  * Removes an attempt from the queue.
@@ -85,7 +85,7 @@
  * @param Attempt The attempt.
  * @return False when it was not queued.
  */
-bool stopWaiting(Admission &Gate, const AttemptId &Attempt);
+bool removeWaiting(Admission &Gate, const AttemptId &Attempt);
 
 /**
  * Lists the queued attempts.
@@ -99,7 +99,7 @@
  * @param Gate The state.
  * @return Time until the queued work has started; 0: unknown.
  */
-Millis timeToComeBack(const Admission &Gate);
+Millis estimateRetryAfter(const Admission &Gate);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/admission_type.h
+++ b/packages/core/src/admission/admission_type.h
@@ -23,20 +23,20 @@
 };
 
 /** What an attempt that requests admission may do. */
-enum class Admitted : uint8_t { Run, Wait, Refuse };
+enum class AdmissionDecision : uint8_t { Run, Wait, Refuse };
 
 /** Request to admit one attempt. */
-struct Admittee {
+struct AdmissionRequest {
   Waiter Who;            ///< Attempt, with its workspace and priority.
   Duration Remaining{0}; ///< Time left until its deadline.
   bool Alone = false;    ///< Must run with no other attempt.
 };
 
 /** Result of a request for admission. */
-struct AdmissionAnswer {
-  Admitted Decision = Admitted::Refuse;    ///< The decision.
+struct AdmissionResult {
+  AdmissionDecision Decision = AdmissionDecision::Refuse;    ///< The decision.
   Millis RetryAfter{0};               ///< Set for a refusal; 0: unknown.
-  std::optional<AttemptId> PushedOut; ///< Removed from the full queue.
+  std::optional<AttemptId> EvictedAttempt; ///< Removed from the full queue.
 };
 
 /** Admission state of one back end: its limit, running and queued attempts. */
--- a/packages/core/src/admission/fair_queue.cpp
+++ b/packages/core/src/admission/fair_queue.cpp
@@ -12,11 +12,11 @@
 /** Dequeues from higher levels after which a lower one has its turn. */
 constexpr uint32_t MaxPassedOver = 8;
 
-using Rotation = std::deque<TenantQueue>;
+using Rotation = std::deque<WorkspaceQueue>;
 
 /** Finds the queue of a workspace; end() if it has none. */
-Rotation::iterator findTenant(Rotation &All, const TenantName &Tenant) {
-  return std::ranges::find(All, Tenant, &TenantQueue::Tenant);
+Rotation::iterator findWorkspace(Rotation &All, const WorkspaceName &Workspace) {
+  return std::ranges::find(All, Workspace, &WorkspaceQueue::Workspace);
 }
 
 /** Gives the level to dequeue from: a starved one, else the highest. */
@@ -28,20 +28,20 @@
 }
 
 /** Gives the number of queued attempts per unit of weight. */
-double lengthByWeight(const TenantQueue &One) {
+double lengthByWeight(const WorkspaceQueue &One) {
   return static_cast<double>(One.Waiting.size()) / One.Weight;
 }
 
 /** Removes a workspace's n-th attempt, and queues and levels left empty. */
 AttemptId removeAt(FairQueue &Queue, uint32_t Priority,
-                   const Rotation::iterator &Tenant, size_t n) {
-  const auto At = Tenant->Waiting.begin() + static_cast<ptrdiff_t>(n);
+                   const Rotation::iterator &Workspace, size_t n) {
+  const auto At = Workspace->Waiting.begin() + static_cast<ptrdiff_t>(n);
   const AttemptId Which = *At;
-  Tenant->Waiting.erase(At);
+  Workspace->Waiting.erase(At);
   --Queue.Size;
   PriorityLevel &Level = Queue.Levels.at(Priority);
-  if (Tenant->Waiting.empty())
-    Level.Rotation.erase(Tenant);
+  if (Workspace->Waiting.empty())
+    Level.Rotation.erase(Workspace);
   if (Level.Rotation.empty())
     Queue.Levels.erase(Priority);
   return Which;
@@ -51,9 +51,9 @@
 
 void enqueueWaiter(FairQueue &Queue, const Waiter &One) {
   Rotation &All = Queue.Levels[One.Priority].Rotation;
-  auto it = findTenant(All, One.Tenant);
+  auto it = findWorkspace(All, One.Workspace);
   if (it == All.end())
-    it = All.insert(All.end(), TenantQueue{One.Tenant, 1, 0, {}});
+    it = All.insert(All.end(), WorkspaceQueue{One.Workspace, 1, 0, {}});
   it->Weight = std::max(1U, One.Weight);
   it->Waiting.push_back(One.Attempt);
   ++Queue.Size;
@@ -68,7 +68,7 @@
     ++it->second.PassedOver;
   PriorityLevel &Level = Row->second;
   Level.PassedOver = 0;
-  TenantQueue &First = Level.Rotation.front();
+  WorkspaceQueue &First = Level.Rotation.front();
   if (First.Credit == 0)
     First.Credit = First.Weight;
   --First.Credit;
@@ -105,7 +105,7 @@
   Rotation &All = Lowest->second.Rotation;
   const auto Largest = std::ranges::max_element(All, {}, lengthByWeight);
   if (Lowest->first == Newcomer.Priority) {
-    const auto Own = findTenant(All, Newcomer.Tenant);
+    const auto Own = findWorkspace(All, Newcomer.Workspace);
     const double Held = Own == All.end() ? 0 : lengthByWeight(*Own);
     // With equal shares, eviction would only move the refusal to another
     // caller.
@@ -121,13 +121,13 @@
     if (Priority < Newcomer.Priority)
       break;
     size_t Own = 0;
-    for (const TenantQueue &One : Level.Rotation)
-      if (One.Tenant == Newcomer.Tenant && Priority == Newcomer.Priority)
+    for (const WorkspaceQueue &One : Level.Rotation)
+      if (One.Workspace == Newcomer.Workspace && Priority == Newcomer.Priority)
         Own = One.Waiting.size();
     const size_t Rounds = Own / std::max(1U, Newcomer.Weight) + 1;
-    for (const TenantQueue &One : Level.Rotation) {
-      const bool SameTenant = One.Tenant == Newcomer.Tenant;
-      const bool Fair = Priority == Newcomer.Priority && !SameTenant;
+    for (const WorkspaceQueue &One : Level.Rotation) {
+      const bool SameWorkspace = One.Workspace == Newcomer.Workspace;
+      const bool Fair = Priority == Newcomer.Priority && !SameWorkspace;
       Ahead += Fair ? std::min(One.Waiting.size(), Rounds * One.Weight)
                     : One.Waiting.size();
     }
@@ -138,7 +138,7 @@
 std::vector<AttemptId> allWaiters(const FairQueue &Queue) {
   std::vector<AttemptId> All;
   for (const auto &[Priority, Level] : Queue.Levels)
-    for (const TenantQueue &One : Level.Rotation)
+    for (const WorkspaceQueue &One : Level.Rotation)
       All.insert(All.end(), One.Waiting.begin(), One.Waiting.end());
   return All;
 }
--- a/packages/core/src/admission/fair_queue_type.h
+++ b/packages/core/src/admission/fair_queue_type.h
@@ -16,14 +16,14 @@
 /** An attempt that may be queued. */
 struct Waiter {
   AttemptId Attempt;     ///< Its id.
-  TenantName Tenant;     ///< Workspace that it belongs to.
+  WorkspaceName Workspace;     ///< Workspace that it belongs to.
   uint32_t Weight = 1;   ///< Share of the workspace.
   uint32_t Priority = 1; ///< Priority of its class; higher goes first.
 };
 
 /** Queued attempts of one workspace at one priority. */
-struct TenantQueue {
-  TenantName Tenant;             ///< The workspace.
+struct WorkspaceQueue {
+  WorkspaceName Workspace;             ///< The workspace.
   uint32_t Weight = 1;           ///< Attempts dequeued in one turn.
   uint32_t Credit = 0;           ///< Attempts left in the current turn.
   std::deque<AttemptId> Waiting; ///< In order of arrival; never empty.
@@ -31,7 +31,7 @@
 
 /** Queued attempts of one priority. */
 struct PriorityLevel {
-  std::deque<TenantQueue> Rotation; ///< The first one has the turn.
+  std::deque<WorkspaceQueue> Rotation; ///< The first one has the turn.
   uint32_t PassedOver = 0; ///< Dequeues from higher levels since its last one.
 };
 
--- a/packages/core/src/admission/first_part.cpp
+++ b/packages/core/src/admission/first_part.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void firstPartSeen(FirstPartTime &Time, Duration Took, Duration Reading) {
+void recordFirstPart(FirstPartTime &Time, Duration Took, Duration Reading) {
   const Duration Rest = std::max(Took - Reading, Duration{0});
   if (Time.SampleCount++ == 0) {
     Time.MeanTime = Rest;
@@ -31,7 +31,7 @@
   Time.MeanTime = movingAverage(Time.MeanTime, Rest);
 }
 
-Duration firstPartAfter(const FirstPartTime &Time, Duration Reading) {
+Duration expectedFirstPartTime(const FirstPartTime &Time, Duration Reading) {
   return Reading + Time.MeanTime + Time.MeanDeviation;
 }
 
--- a/packages/core/src/admission/first_part_func.h
+++ b/packages/core/src/admission/first_part_func.h
@@ -22,7 +22,7 @@
  * @param Took Time since the slot was granted.
  * @param Reading Time to read the prompts queued then, its own included.
  */
-void firstPartSeen(FirstPartTime &Time, Duration Took, Duration Reading);
+void recordFirstPart(FirstPartTime &Time, Duration Took, Duration Reading);
 
 /**
  * Estimates the time to the first part of an answer; about four in five arrive
@@ -31,7 +31,7 @@
  * @param Reading Time to read the prompts queued before, its own included.
  * @return The time since the slot was granted.
  */
-Duration firstPartAfter(const FirstPartTime &Time, Duration Reading);
+Duration expectedFirstPartTime(const FirstPartTime &Time, Duration Reading);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/quarantine.cpp
+++ b/packages/core/src/admission/quarantine.cpp
@@ -35,16 +35,16 @@
 
 } // namespace
 
-Digest fingerprintOf(const TenantName &Tenant, const ClassName &Class,
+Digest fingerprintOf(const WorkspaceName &Workspace, const ClassName &Class,
                      std::string_view Body) {
   // Without the lengths, different fields could concatenate to equal strings.
-  std::string All = std::to_string(Tenant.Value.size()) + "/" + Tenant.Value +
+  std::string All = std::to_string(Workspace.Value.size()) + "/" + Workspace.Value +
                     std::to_string(Class.Value.size()) + "/" + Class.Value;
   All.append(Body);
   return sha256(All);
 }
 
-bool noteSuspect(Quarantine &State, const SuspectNotice &Notice,
+bool applySuspectNotice(Quarantine &State, const SuspectNotice &Notice,
                  TimePoint Now) {
   const Millis Age(static_cast<int64_t>(
       std::min<uint64_t>(Notice.AgeMillis, SuspectLifetime.count())));
@@ -80,7 +80,7 @@
                                                         : Suspicion::RunAlone;
 }
 
-Millis refusedFor(const Quarantine &State, const Digest &Fingerprint,
+Millis refusalTimeLeft(const Quarantine &State, const Digest &Fingerprint,
                   TimePoint Now) {
   const Suspect *One = findSuspect(State, Fingerprint, Now);
   return One == nullptr ? Millis{0}
@@ -98,18 +98,18 @@
   const std::set<std::string> Deaths = One->Deaths;
   for (const std::string &Death : Deaths) {
     const SuspectNotice Notice{Fingerprint, Death, 0, false, true};
-    noteSuspect(State, Notice, Now);
-    spreadNotice(Fleet, Notice, {}, Out);
+    applySuspectNotice(State, Notice, Now);
+    broadcastNotice(Fleet, Notice, {}, Out);
   }
 }
 
-void forgetSuspects(Quarantine &State, TimePoint Now) {
+void dropExpiredSuspects(Quarantine &State, TimePoint Now) {
   std::erase_if(State.Suspects, [&](const auto &Row) {
     return Now - Row.second.Last >= SuspectLifetime;
   });
 }
 
-void tellSuspects(const Quarantine &State, LinkId Link, TimePoint Now,
+void sendSuspects(const Quarantine &State, LinkId Link, TimePoint Now,
                   Effects &Out) {
   for (const auto &[Fingerprint, One] : State.Suspects) {
     const auto Age = static_cast<uint64_t>(toMillis(Now - One.Last).count());
@@ -122,7 +122,7 @@
   }
 }
 
-void spreadNotice(const Membership &Fleet, const Message &Notice,
+void broadcastNotice(const Membership &Fleet, const Message &Notice,
                   std::optional<Role> Only, Effects &Out) {
   for (const auto &[Link, Peer] : Fleet.Links)
     if (Peer.State == LinkState::Ready && (!Only || Peer.Peer.Sender == *Only))
--- a/packages/core/src/admission/quarantine_func.h
+++ b/packages/core/src/admission/quarantine_func.h
@@ -26,7 +26,7 @@
  * @param Body Body of the request.
  * @return The fingerprint.
  */
-Digest fingerprintOf(const TenantName &Tenant, const ClassName &Class,
+Digest fingerprintOf(const WorkspaceName &Workspace, const ClassName &Class,
                      std::string_view Body);
 
 /**
@@ -36,7 +36,7 @@
  * @param Now Current time.
  * @return True when it changed the state and has to be forwarded to peers.
  */
-bool noteSuspect(Quarantine &State, const SuspectNotice &Notice, TimePoint Now);
+bool applySuspectNotice(Quarantine &State, const SuspectNotice &Notice, TimePoint Now);
 
 /**
  * Gives how to treat a request.
@@ -55,7 +55,7 @@
  * @param Now Current time.
  * @return Time left; 0 for a request that is no suspect.
  */
-Millis refusedFor(const Quarantine &State, const Digest &Fingerprint,
+Millis refusalTimeLeft(const Quarantine &State, const Digest &Fingerprint,
                   TimePoint Now);
 
 /**
@@ -75,7 +75,7 @@
  * @param State State to change.
  * @param Now Current time.
  */
-void forgetSuspects(Quarantine &State, TimePoint Now);
+void dropExpiredSuspects(Quarantine &State, TimePoint Now);
 
 /**
  * Sends all known suspects to a peer with a new link.
@@ -84,7 +84,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void tellSuspects(const Quarantine &State, LinkId Link, TimePoint Now,
+void sendSuspects(const Quarantine &State, LinkId Link, TimePoint Now,
                   Effects &Out);
 
 /**
@@ -94,7 +94,7 @@
  * @param Only Role of the peers to send it to; empty: all peers.
  * @param Out Effects are appended.
  */
-void spreadNotice(const Membership &Fleet, const Message &Notice,
+void broadcastNotice(const Membership &Fleet, const Message &Notice,
                   std::optional<Role> Only, Effects &Out);
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/reading.cpp
+++ b/packages/core/src/admission/reading.cpp
@@ -13,27 +13,27 @@
  * pause for it and for a pass of the engine, about 50 ms; with one more long
  * prompt of 120 ms the pause stays below 300 ms.
  */
-constexpr Millis MaxReadingLeft{90};
+constexpr Millis MaxTimeLeftToSend{90};
 
 } // namespace
 
-Duration readingLeft(const ReadingDebt &Debt, TimePoint Now) {
+Duration prefillTimeLeft(const PrefillQueue &Debt, TimePoint Now) {
   return std::max(Debt.Backlog - (Now - Debt.UpdatedAt), Duration{0});
 }
 
-bool maySendPrompt(const ReadingDebt &Debt, TimePoint Now) {
-  return readingLeft(Debt, Now) <= MaxReadingLeft;
+bool maySendPrompt(const PrefillQueue &Debt, TimePoint Now) {
+  return prefillTimeLeft(Debt, Now) <= MaxTimeLeftToSend;
 }
 
-Duration readingTime(const ReadingDebt &Debt, uint32_t Tokens) {
+Duration prefillTime(const PrefillQueue &Debt, uint32_t Tokens) {
   if (Debt.TokensPerSecond <= 0)
     return Duration{0};
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(Tokens / Debt.TokensPerSecond));
 }
 
-void addReading(ReadingDebt &Debt, uint32_t Tokens, TimePoint Now) {
-  Debt.Backlog = readingLeft(Debt, Now) + readingTime(Debt, Tokens);
+void addPrompt(PrefillQueue &Debt, uint32_t Tokens, TimePoint Now) {
+  Debt.Backlog = prefillTimeLeft(Debt, Now) + prefillTime(Debt, Tokens);
   Debt.UpdatedAt = Now;
 }
 
--- a/packages/core/src/admission/reading_func.h
+++ b/packages/core/src/admission/reading_func.h
@@ -22,7 +22,7 @@
  * @param Now Current time.
  * @return The time; 0 when all have been read.
  */
-Duration readingLeft(const ReadingDebt &Debt, TimePoint Now);
+Duration prefillTimeLeft(const PrefillQueue &Debt, TimePoint Now);
 
 /**
  * Says whether another prompt may be sent to the back end.
@@ -30,7 +30,7 @@
  * @param Now Current time.
  * @return False while too much is left to read.
  */
-bool maySendPrompt(const ReadingDebt &Debt, TimePoint Now);
+bool maySendPrompt(const PrefillQueue &Debt, TimePoint Now);
 
 /**
  * Gives the time to read one prompt.
@@ -38,7 +38,7 @@
  * @param Tokens Length of the prompt.
  * @return The time; 0 when the rate is unknown.
  */
-Duration readingTime(const ReadingDebt &Debt, uint32_t Tokens);
+Duration prefillTime(const PrefillQueue &Debt, uint32_t Tokens);
 
 /**
  * Adds a prompt that is sent to the back end.
@@ -46,7 +46,7 @@
  * @param Tokens Length of the prompt.
  * @param Now Current time.
  */
-void addReading(ReadingDebt &Debt, uint32_t Tokens, TimePoint Now);
+void addPrompt(PrefillQueue &Debt, uint32_t Tokens, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/reading_type.h
+++ b/packages/core/src/admission/reading_type.h
@@ -9,7 +9,7 @@
 
 /** Prompts sent to a back end that it has not read yet, as the time that
  * reading (prefill) takes. */
-struct ReadingDebt {
+struct PrefillQueue {
   double TokensPerSecond = 0; ///< Prefill rate; 0: unknown, no limit applies.
   Duration Backlog{0};        ///< Time to read the prompts, as of UpdatedAt.
   TimePoint UpdatedAt;        ///< When Backlog was computed.
--- a/packages/core/src/admission/server_rate.cpp
+++ b/packages/core/src/admission/server_rate.cpp
@@ -16,10 +16,10 @@
 
 } // namespace
 
-RateChange rateNamed(ServerRate &Rate, double PerSecond, TimePoint HeardAt) {
-  if (HeardAt < Rate.LiftedAt)
+RateChange recordRateLimit(ServerRate &Rate, double PerSecond, TimePoint AnswerArrivedAt) {
+  if (AnswerArrivedAt < Rate.LiftedAt)
     return RateChange::None;
-  Rate.LimitSeenAt = std::max(Rate.LimitSeenAt, HeardAt);
+  Rate.LimitSeenAt = std::max(Rate.LimitSeenAt, AnswerArrivedAt);
   if (Rate.PerSecond == PerSecond)
     return RateChange::None;
   if (!Rate.PerSecond)
@@ -28,7 +28,7 @@
   return RateChange::Set;
 }
 
-RateChange rateNotNamed(ServerRate &Rate, TimePoint SentAt) {
+RateChange recordNoRateLimit(ServerRate &Rate, TimePoint SentAt) {
   if (SentAt < Rate.LimitSeenAt)
     return RateChange::None;
   Rate.LiftedAt = std::max(Rate.LiftedAt, SentAt);
@@ -38,30 +38,30 @@
   return RateChange::Lifted;
 }
 
-bool rateAllowsRequest(ServerRate &Rate, double Part, TimePoint Now) {
+bool maySendRequest(ServerRate &Rate, double Part, TimePoint Now) {
   if (!Rate.PerSecond)
     return true;
   if (Part <= 0)
     return false;
   Rate.Share.PerSecond = Part * std::max(*Rate.PerSecond, MinPerSecond);
-  return rateAllows(Rate.Share, Now);
+  return isWithinRate(Rate.Share, Now);
 }
 
 void countRequest(ServerRate &Rate) {
   if (Rate.PerSecond)
-    rateSpend(Rate.Share, 1);
+    takeRateTokens(Rate.Share, 1);
 }
 
-void uncountRequest(ServerRate &Rate) {
+void refundRequest(ServerRate &Rate) {
   if (Rate.PerSecond)
-    rateSpend(Rate.Share, -1);
+    takeRateTokens(Rate.Share, -1);
 }
 
-Duration timeToRequest(const ServerRate &Rate, TimePoint Now) {
-  return Rate.PerSecond ? rateWait(Rate.Share, Now) : Duration{0};
+Duration timeUntilRequest(const ServerRate &Rate, TimePoint Now) {
+  return Rate.PerSecond ? rateWaitTime(Rate.Share, Now) : Duration{0};
 }
 
-std::string rateText(const ServerRate &Rate) {
+std::string formatRateLimit(const ServerRate &Rate) {
   return Rate.PerSecond ? std::to_string(*Rate.PerSecond) : "-";
 }
 
--- a/packages/core/src/admission/server_rate_func.h
+++ b/packages/core/src/admission/server_rate_func.h
@@ -13,10 +13,10 @@
  * Records a limit announced by an answer.
  * @param Rate State to change.
  * @param PerSecond Requests per second that the back end accepts.
- * @param HeardAt When the answer arrived.
+ * @param AnswerArrivedAt When the answer arrived.
  * @return Whether the limit is new or has another value.
  */
-RateChange rateNamed(ServerRate &Rate, double PerSecond, TimePoint HeardAt);
+RateChange recordRateLimit(ServerRate &Rate, double PerSecond, TimePoint AnswerArrivedAt);
 
 /**
  * Records an answer without a limit. Answers may overtake each other, so this
@@ -25,7 +25,7 @@
  * @param SentAt When the request was sent.
  * @return Whether a limit was lifted.
  */
-RateChange rateNotNamed(ServerRate &Rate, TimePoint SentAt);
+RateChange recordNoRateLimit(ServerRate &Rate, TimePoint SentAt);
 
 /**
  * Says whether this process may send a request now.
@@ -34,7 +34,7 @@
  * @param Now Current time.
  * @return True without a limit, or when this process's part allows a request.
  */
-bool rateAllowsRequest(ServerRate &Rate, double Part, TimePoint Now);
+bool maySendRequest(ServerRate &Rate, double Part, TimePoint Now);
 
 /**
  * Counts a request that this process sends.
@@ -46,7 +46,7 @@
  * Takes back the count of a request that was not sent.
  * @param Rate State to change.
  */
-void uncountRequest(ServerRate &Rate);
+void refundRequest(ServerRate &Rate);
 
 /**
  * Gives the time until this process may send a request.
@@ -54,14 +54,14 @@
  * @param Now Current time.
  * @return The time; 0: now.
  */
-Duration timeToRequest(const ServerRate &Rate, TimePoint Now);
+Duration timeUntilRequest(const ServerRate &Rate, TimePoint Now);
 
 /**
  * Formats a limit for log lines.
  * @param Rate The state.
  * @return Requests per second; "-" for no limit.
  */
-std::string rateText(const ServerRate &Rate);
+std::string formatRateLimit(const ServerRate &Rate);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/token_pace.cpp
+++ b/packages/core/src/admission/token_pace.cpp
@@ -28,8 +28,8 @@
 void recordGap(TokenPace &Pace, Duration Gap, bool AtWarmLimit) {
   Pace.Recent.at(Pace.Seen % PaceWindow) = Gap;
   ++Pace.Seen;
-  const bool WholeWindow = Pace.Seen % PaceWindow == 0;
-  if (!WholeWindow || !AtWarmLimit || isLikelyCold(Pace))
+  const bool IsWindowComplete = Pace.Seen % PaceWindow == 0;
+  if (!IsWindowComplete || !AtWarmLimit || isLikelyCold(Pace))
     return;
   const Duration Median = medianGap(Pace);
   Pace.WarmGap = Pace.WarmGap.count() == 0
@@ -39,7 +39,7 @@
 
 void clearGaps(TokenPace &Pace) { Pace.Seen = 0; }
 
-bool farOverWarm(const TokenPace &Pace, Duration Gap) {
+bool isFarAboveWarm(const TokenPace &Pace, Duration Gap) {
   return Pace.WarmGap.count() > 0 && Gap > Pace.WarmGap * ColdFactor &&
          Gap > MinColdGap;
 }
@@ -47,7 +47,7 @@
 bool isLikelyCold(const TokenPace &Pace) {
   // The median reflects the back end as a whole: one slow answer or a short
   // stall of this process does not change it.
-  return Pace.Seen >= PaceWindow && farOverWarm(Pace, medianGap(Pace));
+  return Pace.Seen >= PaceWindow && isFarAboveWarm(Pace, medianGap(Pace));
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/token_pace_func.h
+++ b/packages/core/src/admission/token_pace_func.h
@@ -29,7 +29,7 @@
  * @param Gap Length of the gap, or time since the last token.
  * @return True when a warm back end does not pause for that long.
  */
-bool farOverWarm(const TokenPace &Pace, Duration Gap);
+bool isFarAboveWarm(const TokenPace &Pace, Duration Gap);
 
 /**
  * Says whether the median of the recent gaps indicates a cold back end.
--- a/packages/core/src/attempts/agent.cpp
+++ b/packages/core/src/attempts/agent.cpp
@@ -85,8 +85,8 @@
   // idle.
   const uint32_t Work = Agent.Fleet.Load.Running + Agent.Fleet.Load.Waiting;
   const bool WorkChanged = Work != Agent.AnnouncedWork &&
-                           !runsOnStore(Agent.Config) &&
-                           mayBeatEarly(Agent.Fleet, Now);
+                           !isOnStorePlatform(Agent.Config) &&
+                           canSendHeartbeatEarly(Agent.Fleet, Now);
   if (WorkChanged)
     Agent.AnnouncedWork = Work;
   if (WorkChanged || Agent.Fleet.Load.State != Before ||
@@ -108,7 +108,7 @@
   const auto Kind =
       std::ranges::find(Doc.Services, it->Service, &Service::Name);
   if (Kind != Doc.Services.end())
-    Agent.Prefill.TokensPerSecond = Kind->ReadPerSecond;
+    Agent.Prefill.TokensPerSecond = Kind->PromptTokensPerSecond;
   if (it->Id != Agent.ListedServer.Id ||
       it->ColdFor != Agent.ListedServer.ColdFor) {
     Agent.ColdUntil = Now + it->ColdFor;
@@ -137,20 +137,20 @@
   if (Self != nullptr && !Self->Model.Value.empty()) {
     const ModelVersion *Wanted = findModel(Doc, Self->Model);
     if (Wanted != nullptr)
-      noteNewest(Agent.Weights, Wanted->Set,
+      recordNewestSet(Agent.Weights, Wanted->Set,
                  Agent.View.PublishedAfter.value_or(Now));
     if (Wanted != nullptr && !Wanted->Origin.Value.empty())
       obtainChunkList(Agent, *Wanted, Now, Out);
     else if (Wanted != nullptr)
-      wantWeights(Agent.Weights, *Wanted);
-    planTransfer(Agent.Transfer, Agent.Weights, Doc, Self->Name, Now);
+      setWantedWeights(Agent.Weights, *Wanted);
+    updateTransferPlan(Agent.Transfer, Agent.Weights, Doc, Self->Name, Now);
     applyServerListing(Agent, Doc, Now);
-    for (const LinkId Link : followPeers(Agent, Out))
-      agentLinkClosed(Agent, Link, Now);
+    for (const LinkId Link : updatePeerLinks(Agent, Out))
+      handleAgentLinkClosed(Agent, Link, Now);
   }
   if (Doc.DomainsOut.contains(Agent.Fleet.Self.Domain))
     refuseWaiting(Agent, ErrorKind::DomainOut, Out);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
 }
 
 /** Adds a peer that sent Hello to the exchange of chunks if it is an agent. */
@@ -158,7 +158,7 @@
   const auto it = Agent.Fleet.Links.find(Link);
   if (it == Agent.Fleet.Links.end() || it->second.Peer.Sender != Role::Agent)
     return;
-  chunkPeerReady(Agent.Transfer, Link, it->second.Peer.Name,
+  addChunkPeer(Agent.Transfer, Link, it->second.Peer.Name,
                  it->second.Peer.Domain == Agent.Fleet.Self.Domain);
 }
 
@@ -185,14 +185,14 @@
   // The slow tokens of all answers arrive at about the same time, so that a
   // tick just after them finds no stalled answer. At the first of them the
   // other answers are still stalled.
-  if (!First && farOverWarm(Agent.Gate.Pace, Gap))
+  if (!First && isFarAboveWarm(Agent.Gate.Pace, Gap))
     detectStalls(Agent, Now, Out);
   One.LastTokenAt = Now;
   // After a pause of this process, which the missed ticks show, all gaps are
   // long and say nothing about the back end.
   if (First || Now - Agent.Fleet.LastTick > MaxTickGap)
     return;
-  if (tokenCame(Agent.Gate, Gap))
+  if (recordTokenGap(Agent.Gate, Gap))
     Out.push_back(
         LogNote{LogPart::Admission, LogLevel::Warn,
                 "Tokens arrive too slowly; the back end counts as cold."});
@@ -213,9 +213,9 @@
   const TimePoint RequestedAfter = std::exchange(Agent.LastReportAt, Now);
   RateChange Change = RateChange::None;
   if (Read.PerSecond)
-    Change = rateNamed(Agent.Rate, *Read.PerSecond, Now);
+    Change = recordRateLimit(Agent.Rate, *Read.PerSecond, Now);
   else if (Agent.RateInReports)
-    Change = rateNotNamed(Agent.Rate, RequestedAfter);
+    Change = recordNoRateLimit(Agent.Rate, RequestedAfter);
   Agent.RateInReports = Read.PerSecond || (Agent.RateInReports && !NewRun &&
                                            Agent.Rate.PerSecond);
   logRateChange(Agent, Change, "report", Out);
@@ -246,74 +246,74 @@
   AgentState Agent;
   Agent.Config = Config;
   Agent.Fleet = makeMembership(Config, Role::Agent, Run, Now);
-  Agent.LastSpareRoomAt = Now;
+  Agent.LastSpareCapacityAt = Now;
   Agent.Gate.Limits = {static_cast<uint32_t>(Config.WarmLimit),
                        static_cast<uint32_t>(Config.ColdLimit),
                        static_cast<uint32_t>(Config.QueueLimit),
                        static_cast<uint32_t>(Config.WarmAfter)};
   applyColdLimit(Agent.Gate);
   Effects None; // Dropped: the first tick opens the links.
-  wantPeers(Agent.Fleet, seedPeers(Config), None);
-  Agent.Weights.AtEngine = runsOnStore(Config);
+  setWantedPeers(Agent.Fleet, seedPeers(Config), None);
+  Agent.Weights.StagedAtEngine = isOnStorePlatform(Config);
   Agent.Transfer = makeTransfer(Config);
-  Agent.Keys = makeKeyBook(Now);
+  Agent.Keys = makeKeyStore(Now);
   Agent.Keys.KnownIncarnations.insert(Run);
   return Agent;
 }
 
-void agentLinkOpened(AgentState &Agent, LinkId Link, TimePoint Now,
+void handleAgentLinkOpened(AgentState &Agent, LinkId Link, TimePoint Now,
                      Effects &Out) {
-  linkOpened(Agent.Fleet, Link, Now, Out);
+  handleLinkOpened(Agent.Fleet, Link, Now, Out);
 }
 
-void agentLinkClosed(AgentState &Agent, LinkId Link, TimePoint Now) {
-  linkClosed(Agent.Fleet, Link, Now);
-  chunkPeerGone(Agent.Transfer, Link, Now);
+void handleAgentLinkClosed(AgentState &Agent, LinkId Link, TimePoint Now) {
+  handleLinkClosed(Agent.Fleet, Link, Now);
+  removeChunkPeer(Agent.Transfer, Link, Now);
   detachAttempts(Agent, Link, Now);
   Effects None; // Dropped: the link is gone.
   detachSlots(Agent, Link, Now, None);
 }
 
-void agentNoticePause(AgentState &Agent, TimePoint Now, Effects &Out) {
+void detectAgentPause(AgentState &Agent, TimePoint Now, Effects &Out) {
   const std::vector<LinkId> Dropped =
       dropLinksAfterPause(Agent.Fleet, Now, Out);
   if (Dropped.empty())
     return;
   for (const LinkId Link : Dropped)
-    agentLinkClosed(Agent, Link, Now);
+    handleAgentLinkClosed(Agent, Link, Now);
   refuseWaiting(Agent, ErrorKind::StaleView, Out);
 }
 
-void agentMessage(AgentState &Agent, LinkId Link, const Message &m,
+void handleAgentMessage(AgentState &Agent, LinkId Link, const Message &m,
                   TimePoint Now, Effects &Out) {
-  agentNoticePause(Agent, Now, Out);
-  if (!linkHeard(Agent.Fleet, Link, Now))
+  detectAgentPause(Agent, Now, Out);
+  if (!recordLinkActivity(Agent.Fleet, Link, Now))
     return;
   const DocumentPtr Before = Agent.View.InForce;
-  const FleetNews News =
-      fleetMessage(Agent.View, Agent.Fleet, Link, m, Now, Out);
-  if (News == FleetNews::NewDocument) {
-    keepPastList(Agent.Keys, Before, Now);
+  const FleetMessageResult News =
+      handleFleetMessage(Agent.View, Agent.Fleet, Link, m, Now, Out);
+  if (News == FleetMessageResult::NewDocument) {
+    recordPastDocument(Agent.Keys, Before, Now);
     applyAgentDocument(Agent, Now, Out);
     announceLoadChange(Agent, Now, Out);
   }
   if (std::holds_alternative<Hello>(m)) {
     registerChunkPeer(Agent, Link);
-    tellSuspects(Agent.Suspects, Link, Now, Out);
+    sendSuspects(Agent.Suspects, Link, Now, Out);
   }
-  if (News != FleetNews::NotMine)
+  if (News != FleetMessageResult::Unrelated)
     return;
   std::visit(Overloaded{[&](const AttemptStart &Start) {
                           handleAttemptStart(Agent, Link, Start, Now, Out);
                         },
-                        [&](const PlaceAsk &Ask) {
+                        [&](const SlotRequest &Ask) {
                           handleSlotRequest(Agent, Link, Ask, Now, Out);
                         },
-                        [&](const PlaceDone &Done) {
+                        [&](const SlotRelease &Done) {
                           handleSlotRelease(Agent, Done, Now, Out);
                           loadInTurn(Agent, Now, Out);
                         },
-                        [&](const RateHeard &Heard) {
+                        [&](const RateLimitNotice &Heard) {
                           handleRateNotice(Agent, Heard, Now, Out);
                           announceLoadChange(Agent, Now, Out);
                         },
@@ -321,17 +321,17 @@
                           cancelAttempt(Agent, Cancel.Attempt, Now, Out);
                         },
                         [&](const ChunkHave &Have) {
-                          chunkHaveHeard(Agent.Transfer, Link, Have, Now);
-                          moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+                          recordAnnouncement(Agent.Transfer, Link, Have, Now);
+                          advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
                         },
-                        [&](const ChunkListTold &List) {
+                        [&](const ChunkListNotice &List) {
                           if (handleListNotice(Agent, Link, List, Now, Out))
                             announceLoadChange(Agent, Now, Out);
                         },
                         [&](const ChunkRequest &Request) {
-                          chunkRequested(Agent.Transfer, Agent.Weights, Link,
+                          queueUpload(Agent.Transfer, Agent.Weights, Link,
                                          Request, Out);
-                          serveUploads(Agent.Transfer, Agent.Weights, Now, Out);
+                          sendUploads(Agent.Transfer, Agent.Weights, Now, Out);
                         },
                         [&](const SuspectNotice &Notice) {
                           handleSuspectNotice(Agent, Notice, Now, Out);
@@ -346,7 +346,7 @@
              m);
 }
 
-void engineBegan(AgentState &Agent, const AttemptId &Which,
+void handleEngineStart(AgentState &Agent, const AttemptId &Which,
                  const Digest &Weights, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
@@ -361,10 +361,10 @@
                 Ran::Yes, Out);
     return;
   }
-  sendBegun(it->second, Weights, Out);
+  sendAttemptStarted(it->second, Weights, Out);
 }
 
-void engineToken(AgentState &Agent, const AttemptId &Which,
+void handleEngineToken(AgentState &Agent, const AttemptId &Which,
                  const std::string &Token, TimePoint Now, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
@@ -373,14 +373,14 @@
   sendFrame(it->second, Token, Out);
 }
 
-void engineEnded(AgentState &Agent, const AttemptId &Which,
+void handleEngineEnd(AgentState &Agent, const AttemptId &Which,
                  const Outcome<EngineEnd> &End, TimePoint Now, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   const bool Known = it != Agent.Attempts.end();
   const bool Complete = Known && End.Value &&
                         End.Value->Count == nextFrameNumber(it->second) &&
                         End.Value->Weights == it->second.Weights;
-  runEnded(Agent.Gate, Which, runEndOf(Complete, End),
+  recordRunEnd(Agent.Gate, Which, runEndOf(Complete, End),
            Known ? Now - it->second.StartedAt : Duration{0});
   if (Complete) {
     clearSuspicion(Agent, it->second, Now, Out);
@@ -399,13 +399,13 @@
   refreshLoad(Agent);
 }
 
-void serviceAnswered(AgentState &Agent, const AttemptId &Which,
+void handleServiceAnswer(AgentState &Agent, const AttemptId &Which,
                      const Outcome<ServiceAnswer> &Answer, TimePoint Now,
                      Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   // A plain service does not report what it runs. A run without an answer
   // therefore counts as over at once.
-  runEnded(Agent.Gate, Which, Answer.Value ? RunEnd::Complete : RunEnd::NotStarted,
+  recordRunEnd(Agent.Gate, Which, Answer.Value ? RunEnd::Complete : RunEnd::NotStarted,
            it == Agent.Attempts.end() ? Duration{0}
                                       : Now - it->second.StartedAt);
   if (it == Agent.Attempts.end())
@@ -424,11 +424,11 @@
   refreshLoad(Agent);
 }
 
-void engineStateRead(AgentState &Agent, const Outcome<EngineState> &Read,
+void handleEngineReport(AgentState &Agent, const Outcome<EngineState> &Read,
                      uint64_t OrdersEnded, TimePoint Now, Effects &Out) {
   // A report requested before the last load order ended is outdated.
   const bool Current = OrdersEnded == Agent.Weights.OrdersEnded &&
-                       OrdersEnded == Agent.Weights.OrdersGiven;
+                       OrdersEnded == Agent.Weights.OrdersSent;
   if (Read.Value && Current)
     Agent.Weights.Loading = false;
   if (Read.Value)
@@ -442,7 +442,7 @@
       Out.push_back(
           LogNote{LogPart::Weights, LogLevel::Info,
                   "Engine reports loaded weights set " + Known.Value});
-    noteLoaded(Agent.Weights, Known);
+    recordLoadedSet(Agent.Weights, Known);
   }
   if (Agent.BackEndUp && !Read.Value)
     Out.push_back(
@@ -457,14 +457,14 @@
     refuseWaiting(Agent, ErrorKind::ColdStart, Out);
   }
   if (Read.Value)
-    backEndReported(Agent.Gate, Read.Value->Running, Read.Value->Cold,
+    applyBackEndReport(Agent.Gate, Read.Value->Running, Read.Value->Cold,
                     Restarted);
   startWaitingWork(Agent, Now, Out);
   loadInTurn(Agent, Now, Out);
   announceLoadChange(Agent, Now, Out);
 }
 
-void servicePinged(AgentState &Agent, const Outcome<std::string> &Read,
+void handleServiceProbe(AgentState &Agent, const Outcome<std::string> &Read,
                    TimePoint Now, Effects &Out) {
   Agent.BackEndUp = Read.Value.has_value();
   const std::string Run = Read.Value.value_or("");
@@ -474,83 +474,83 @@
   announceLoadChange(Agent, Now, Out);
 }
 
-void originAnswered(AgentState &Agent, const Digest &Chunk,
-                    const CheckedChunk &Came, TimePoint Now, Effects &Out) {
-  chunkFromOrigin(Agent.Transfer, Agent.Weights, Chunk, Came, Now, Out);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+void handleOriginChunk(AgentState &Agent, const Digest &Chunk,
+                    const DigestedChunk &Came, TimePoint Now, Effects &Out) {
+  receiveChunkFromOrigin(Agent.Transfer, Agent.Weights, Chunk, Came, Now, Out);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
   refreshLoad(Agent);
 }
 
-void chunkListRead(AgentState &Agent, const ChunkRef &Version,
+void handleOriginChunkList(AgentState &Agent, const ChunkRef &Version,
                    const Outcome<ChunkList> &Read, TimePoint Now,
                    Effects &Out) {
   if (handleListRead(Agent, Version, Read, Now, Out))
     announceLoadChange(Agent, Now, Out);
 }
 
-void peerSentPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
+void handlePeerChunkPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
                   TimePoint Now, Effects &Out) {
-  if (!linkHeard(Agent.Fleet, Link, Now))
+  if (!recordLinkActivity(Agent.Fleet, Link, Now))
     return;
-  auto Joined = partFromPeer(Agent.Transfer, Link, Data, Now, Out);
+  auto Joined = receiveChunkPart(Agent.Transfer, Link, Data, Now, Out);
   if (!Joined)
     return;
   ChunkBytes Bytes;
   if (!Joined->empty())
     Bytes = std::make_shared<const std::string>(std::move(*Joined));
-  peerSentChunk(Agent, Link, Data.Chunk, checkChunk(std::move(Bytes)), Now,
+  handlePeerChunk(Agent, Link, Data.Chunk, digestChunk(std::move(Bytes)), Now,
                 Out);
 }
 
-void agentStaged(AgentState &Agent, const ChunkRef &Chunk, bool Staged,
+void handleStagedChunk(AgentState &Agent, const ChunkRef &Chunk, bool Staged,
                  TimePoint Now, Effects &Out) {
-  chunkStaged(Agent.Transfer, Agent.Weights, Chunk, Staged, Now);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+  recordStagedChunk(Agent.Transfer, Agent.Weights, Chunk, Staged, Now);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
   refreshLoad(Agent);
 }
 
-void agentSpoilt(AgentState &Agent, const Digest &Chunk, TimePoint Now,
+void handleDamagedChunk(AgentState &Agent, const Digest &Chunk, TimePoint Now,
                  Effects &Out) {
   Out.push_back(LogNote{LogPart::Weights, LogLevel::Warn,
                         "Staged chunk " + Chunk.Value +
                             " is damaged, fetching it again"});
-  chunkSpoilt(Agent.Transfer, Agent.Weights, Chunk);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+  dropDamagedChunk(Agent.Transfer, Agent.Weights, Chunk);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
 }
 
-void peerSentChunk(AgentState &Agent, LinkId Link, const Digest &Chunk,
-                   const CheckedChunk &Came, TimePoint Now, Effects &Out) {
-  if (!linkHeard(Agent.Fleet, Link, Now))
+void handlePeerChunk(AgentState &Agent, LinkId Link, const Digest &Chunk,
+                   const DigestedChunk &Came, TimePoint Now, Effects &Out) {
+  if (!recordLinkActivity(Agent.Fleet, Link, Now))
     return;
-  chunkFromPeer(Agent.Transfer, Agent.Weights, Link, Chunk, Came, Now, Out);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+  receiveChunkFromPeer(Agent.Transfer, Agent.Weights, Link, Chunk, Came, Now, Out);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
   refreshLoad(Agent);
 }
 
-void answerSent(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now) {
+void countAnswerBytes(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now) {
   const auto it = Agent.Fleet.Links.find(Link);
   if (it != Agent.Fleet.Links.end() &&
       it->second.Peer.Domain != Agent.Fleet.Self.Domain)
-    rateYield(Agent.Transfer.CrossDomain, Bytes, Now);
+    countLiveTraffic(Agent.Transfer.CrossDomain, Bytes, Now);
 }
 
-void linkBacklog(AgentState &Agent, LinkId Link, uint64_t Bytes) {
+void setLinkBacklog(AgentState &Agent, LinkId Link, uint64_t Bytes) {
   const auto it = Agent.Transfer.Peers.find(Link);
   if (it != Agent.Transfer.Peers.end())
     it->second.BacklogBytes = Bytes;
 }
 
-void loadEnded(AgentState &Agent, const std::optional<Failure> &Why,
+void handleLoadResult(AgentState &Agent, const std::optional<Failure> &Why,
                TimePoint Now, Effects &Out) {
   const bool Unknown = Why && Why->Kind == ErrorKind::OutcomeUnknown;
-  orderEnded(Agent.Weights, !Why, Now);
+  recordOrderEnd(Agent.Weights, !Why, Now);
   if (!Why)
-    orderConfirmed(Agent.Weights);
+    markOrderConfirmed(Agent.Weights);
   else if (Unknown)
-    orderUnconfirmed(Agent.Weights);
+    markOrderUnconfirmed(Agent.Weights);
   applyColdLimit(Agent.Gate);
   if (Why)
     Out.push_back(
@@ -560,19 +560,19 @@
                     " may_be_loaded=" + (Unknown ? "yes" : "no")});
 }
 
-void tellLoad(const AgentState &Agent, Effects &Out) {
-  stampLoad(currentLoad(Agent), Out);
+void attachCurrentLoad(const AgentState &Agent, Effects &Out) {
+  attachLoad(currentLoad(Agent), Out);
 }
 
-void agentTick(AgentState &Agent, TimePoint Now, Effects &Out) {
+void handleAgentTick(AgentState &Agent, TimePoint Now, Effects &Out) {
   detectStalls(Agent, Now, Out);
-  forgetSuspects(Agent.Suspects, Now);
+  dropExpiredSuspects(Agent.Suspects, Now);
   refuseOverdueAttempts(Agent, Now, Out);
-  agentNoticePause(Agent, Now, Out);
-  const bool WasFresh = viewIsFresh(Agent.Fleet);
-  for (const LinkId Link : fleetTick(Agent.View, Agent.Fleet, Now, Out))
-    agentLinkClosed(Agent, Link, Now);
-  if (WasFresh && !viewIsFresh(Agent.Fleet))
+  detectAgentPause(Agent, Now, Out);
+  const bool WasFresh = isViewFresh(Agent.Fleet);
+  for (const LinkId Link : tickFleet(Agent.View, Agent.Fleet, Now, Out))
+    handleAgentLinkClosed(Agent, Link, Now);
+  if (WasFresh && !isViewFresh(Agent.Fleet))
     refuseWaiting(Agent, ErrorKind::StaleView, Out);
   expireAttempts(Agent, Now, Out);
   expireSlots(Agent, Now, Out);
@@ -583,12 +583,12 @@
   grantSpareSlots(Agent, Now, Out);
   expireKeys(Agent.Keys, Agent.Fleet.Self.Run, Now);
   requestMissingList(Agent, Now, Out);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
   announceLoadChange(Agent, Now, Out);
 }
 
-void agentStop(AgentState &Agent, TimePoint Now, Effects &Out) {
+void beginAgentShutdown(AgentState &Agent, TimePoint Now, Effects &Out) {
   Agent.Stopping = true;
   refuseWaiting(Agent, ErrorKind::Leaving, Out);
   refreshLoad(Agent);
--- a/packages/core/src/attempts/agent_func.h
+++ b/packages/core/src/attempts/agent_func.h
@@ -24,7 +24,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentLinkOpened(AgentState &Agent, LinkId Link, TimePoint Now,
+void handleAgentLinkOpened(AgentState &Agent, LinkId Link, TimePoint Now,
                      Effects &Out);
 
 /**
@@ -34,7 +34,7 @@
  * @param Link The link.
  * @param Now Current time.
  */
-void agentLinkClosed(AgentState &Agent, LinkId Link, TimePoint Now);
+void handleAgentLinkClosed(AgentState &Agent, LinkId Link, TimePoint Now);
 
 /**
  * Detects by a gap in its own clock that this process was paused; then drops
@@ -44,7 +44,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentNoticePause(AgentState &Agent, TimePoint Now, Effects &Out);
+void detectAgentPause(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
  * Handles a message from a peer: passes it to the function for its type.
@@ -54,7 +54,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentMessage(AgentState &Agent, LinkId Link, const Message &m,
+void handleAgentMessage(AgentState &Agent, LinkId Link, const Message &m,
                   TimePoint Now, Effects &Out);
 
 /**
@@ -65,7 +65,7 @@
  * @param Weights Digest of the weights that the engine uses.
  * @param Out Effects are appended.
  */
-void engineBegan(AgentState &Agent, const AttemptId &Which,
+void handleEngineStart(AgentState &Agent, const AttemptId &Which,
                  const Digest &Weights, Effects &Out);
 
 /**
@@ -77,7 +77,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void engineToken(AgentState &Agent, const AttemptId &Which,
+void handleEngineToken(AgentState &Agent, const AttemptId &Which,
                  const std::string &Token, TimePoint Now, Effects &Out);
 
 /**
@@ -89,7 +89,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void engineEnded(AgentState &Agent, const AttemptId &Which,
+void handleEngineEnd(AgentState &Agent, const AttemptId &Which,
                  const Outcome<EngineEnd> &End, TimePoint Now, Effects &Out);
 
 /**
@@ -101,7 +101,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void serviceAnswered(AgentState &Agent, const AttemptId &Which,
+void handleServiceAnswer(AgentState &Agent, const AttemptId &Which,
                      const Outcome<ServiceAnswer> &Answer, TimePoint Now,
                      Effects &Out);
 
@@ -114,7 +114,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void engineStateRead(AgentState &Agent, const Outcome<EngineState> &Read,
+void handleEngineReport(AgentState &Agent, const Outcome<EngineState> &Read,
                      uint64_t OrdersEnded, TimePoint Now, Effects &Out);
 
 /**
@@ -124,7 +124,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void servicePinged(AgentState &Agent, const Outcome<std::string> &Read,
+void handleServiceProbe(AgentState &Agent, const Outcome<std::string> &Read,
                    TimePoint Now, Effects &Out);
 
 /**
@@ -135,8 +135,8 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void originAnswered(AgentState &Agent, const Digest &Chunk,
-                    const CheckedChunk &Came, TimePoint Now, Effects &Out);
+void handleOriginChunk(AgentState &Agent, const Digest &Chunk,
+                    const DigestedChunk &Came, TimePoint Now, Effects &Out);
 
 /**
  * Handles the origin's answer to a request for a version's chunk list.
@@ -146,7 +146,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void chunkListRead(AgentState &Agent, const ChunkRef &Version,
+void handleOriginChunkList(AgentState &Agent, const ChunkRef &Version,
                    const Outcome<ChunkList> &Read, TimePoint Now, Effects &Out);
 
 /**
@@ -158,7 +158,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentStaged(AgentState &Agent, const ChunkRef &Chunk, bool Staged,
+void handleStagedChunk(AgentState &Agent, const ChunkRef &Chunk, bool Staged,
                  TimePoint Now, Effects &Out);
 
 /**
@@ -169,7 +169,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentSpoilt(AgentState &Agent, const Digest &Chunk, TimePoint Now,
+void handleDamagedChunk(AgentState &Agent, const Digest &Chunk, TimePoint Now,
                  Effects &Out);
 
 /**
@@ -181,8 +181,8 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void peerSentChunk(AgentState &Agent, LinkId Link, const Digest &Chunk,
-                   const CheckedChunk &Came, TimePoint Now, Effects &Out);
+void handlePeerChunk(AgentState &Agent, LinkId Link, const Digest &Chunk,
+                   const DigestedChunk &Came, TimePoint Now, Effects &Out);
 
 /**
  * Adds a part of a chunk that a peer sent, and checks the chunk once all its
@@ -193,7 +193,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void peerSentPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
+void handlePeerChunkPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
                   TimePoint Now, Effects &Out);
 
 /**
@@ -204,7 +204,7 @@
  * @param Bytes Its size.
  * @param Now Current time.
  */
-void answerSent(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now);
+void countAnswerBytes(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now);
 
 /**
  * Records how many sent bytes a link still holds in its send buffer.
@@ -212,7 +212,7 @@
  * @param Link The link.
  * @param Bytes Bytes that the network has not accepted yet.
  */
-void linkBacklog(AgentState &Agent, LinkId Link, uint64_t Bytes);
+void setLinkBacklog(AgentState &Agent, LinkId Link, uint64_t Bytes);
 
 /**
  * Handles the result of an order to load weights. The concurrency limit falls
@@ -222,7 +222,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void loadEnded(AgentState &Agent, const std::optional<Failure> &Why,
+void handleLoadResult(AgentState &Agent, const std::optional<Failure> &Why,
                TimePoint Now, Effects &Out);
 
 /**
@@ -231,7 +231,7 @@
  * @param Agent The state.
  * @param Out Effects to change.
  */
-void tellLoad(const AgentState &Agent, Effects &Out);
+void attachCurrentLoad(const AgentState &Agent, Effects &Out);
 
 /**
  * Runs the periodic work: timeouts, heartbeats, queued work and transfers.
@@ -239,7 +239,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentTick(AgentState &Agent, TimePoint Now, Effects &Out);
+void handleAgentTick(AgentState &Agent, TimePoint Now, Effects &Out);
 
 /**
  * Begins a graceful stop: refuses queued and new work and tells the peers.
@@ -247,7 +247,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void agentStop(AgentState &Agent, TimePoint Now, Effects &Out);
+void beginAgentShutdown(AgentState &Agent, TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -34,9 +34,9 @@
   TimePoint Deadline;    ///< After this the answer is of no use.
   TimePoint StartedAt;   ///< When it was sent to the back end.
   TimePoint LastTokenAt; ///< When its latest token arrived; zero: none yet.
-  AttemptKnown State = AttemptKnown::Waiting; ///< Waiting or running.
+  KnownAttemptState State = KnownAttemptState::Waiting; ///< Waiting or running.
   Digest Weights;         ///< Weights that produce the answer; empty: none.
-  bool BegunSent = false; ///< The entry was told that the back end has it.
+  bool AttemptStartedSent = false; ///< The entry was told that the back end has it.
   std::vector<std::string> Frames; ///< Frames so far, from Asked.ResumeFrom.
   std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
   bool Cancelled = false;              ///< No caller waits for it.
@@ -54,12 +54,12 @@
  */
 struct Slot {
   LinkId Link;             ///< Link of the entry that asked.
-  PlaceAsk RequestMessage; ///< The entry's request for this slot.
+  SlotRequest RequestMessage; ///< The entry's request for this slot.
   TimePoint RequestedAt;   ///< When it was requested.
   TimePoint GrantedAt;     ///< When it was granted; until then, when requested.
   TimePoint WaitUntil;     ///< Time limit for granting it.
   bool Granted = false;    ///< The request may be at the back end.
-  Duration ReadingAtGrant{0}; ///< Time to read all prompts, at the grant.
+  Duration PrefillAtGrant{0}; ///< Time to read all prompts, at the grant.
   std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
 };
 
@@ -77,7 +77,7 @@
   Settings Config;          ///< Settings of this process.
   ConfigView View;          ///< Published configuration.
   Membership Fleet;         ///< Links to entries and agents.
-  ReadingDebt Prefill;      ///< Prompts sent to the back end and not read yet.
+  PrefillQueue Prefill;      ///< Prompts sent to the back end and not read yet.
   FirstPartTime FirstPart;  ///< Observed time to the first part of an answer.
   Admission Gate;           ///< Concurrency limit, running and queued work.
   ServerRate Rate;          ///< Rate limit that the back end itself announces.
@@ -97,13 +97,13 @@
   std::map<AttemptId, Attempt> Attempts; ///< Queued and running attempts.
   std::map<AttemptId, Slot> SlotsById;   ///< Requested and granted slots.
   std::deque<AttemptId> SpareQueue;      ///< Slots for late requests, in order.
-  TimePoint LastSpareRoomAt;             ///< When spare capacity was last seen.
+  TimePoint LastSpareCapacityAt;             ///< When spare capacity was last seen.
   EndedAttempts Ended;                   ///< Attempts that ended recently.
-  KeyBook Keys;                          ///< Records of non-repeatable calls.
+  KeyStore Keys;                          ///< Records of non-repeatable calls.
   ModelVersion PendingVersion; ///< Version whose chunk list is missing; may be
                                ///< empty.
   std::optional<ChunkList> UnconfirmedList; ///< Chunk list as first read.
-  ChunkListTold LastListNotice; ///< Latest list from a peer; may be empty.
+  ChunkListNotice LastListNotice; ///< Latest list from a peer; may be empty.
   TimePoint NextListReadAt;     ///< Earliest time of the next read of the list.
   bool ListReadPending = false; ///< A read of the list is in progress.
   uint32_t AnnouncedWork = 0;   ///< Work in the last heartbeat that was sent
--- a/packages/core/src/attempts/attempt.cpp
+++ b/packages/core/src/attempts/attempt.cpp
@@ -74,7 +74,7 @@
   Attempt &One = it->second;
   EndedAttempt Ended;
   Ended.Final = std::move(Final);
-  if (One.BegunSent)
+  if (One.AttemptStartedSent)
     Ended.Weights = One.Weights;
   Ended.FirstFrame = One.StartMessage.ResumeFrom;
   Ended.Frames = std::move(One.Frames);
@@ -106,7 +106,7 @@
 void resendEnd(LinkId Link, const AttemptQuery &m, const EndedAttempt &One,
                Effects &Out) {
   if (One.Weights)
-    Out.push_back(SendMessage{Link, AttemptBegun{m.Attempt, *One.Weights}});
+    Out.push_back(SendMessage{Link, AttemptStarted{m.Attempt, *One.Weights}});
   resendFrames(Link, m.Attempt, One.FirstFrame, One.Frames, m.NextFrame, Out);
   const auto *End = std::get_if<AnswerEnd>(&One.Final);
   const bool Dropped = End != nullptr &&
@@ -127,32 +127,32 @@
 
 /** Fails a queued attempt that was evicted from the full queue by another. */
 void refuseEvicted(AgentState &Agent, const AttemptId &Which, Effects &Out) {
-  const Millis Wait = jitteredWait(timeToComeBack(Agent.Gate), Which);
+  const Millis Wait = jitteredWait(estimateRetryAfter(Agent.Gate), Which);
   failAttempt(Agent, Which, {ErrorKind::Overloaded, "queue full", Wait},
               Ran::No, Out);
 }
 
 /** Gives the weight of a workspace in the fair queue; 1 if it is not listed. */
-uint32_t workspaceWeight(const Document &Doc, const TenantName &Name) {
-  const auto it = std::ranges::find(Doc.Tenants, Name, &Tenant::Name);
-  return it == Doc.Tenants.end() ? 1 : it->Weight;
+uint32_t workspaceWeight(const Document &Doc, const WorkspaceName &Name) {
+  const auto it = std::ranges::find(Doc.Workspaces, Name, &Workspace::Name);
+  return it == Doc.Workspaces.end() ? 1 : it->Weight;
 }
 
 /** Gives the error for a request that made too many back ends die. */
 Failure quarantineFailure(const AgentState &Agent, const AttemptStart &m,
                           TimePoint Now) {
-  const Digest Fingerprint = fingerprintOf(m.Tenant, m.Class, m.Body);
+  const Digest Fingerprint = fingerprintOf(m.Workspace, m.Class, m.Body);
   return {ErrorKind::Quarantined, "it made back ends fail",
-          refusedFor(Agent.Suspects, Fingerprint, Now)};
+          refusalTimeLeft(Agent.Suspects, Fingerprint, Now)};
 }
 
 /** Describes an attempt to admission control: workspace, priority, time left.
  */
-Admittee admissionRequestOf(const AgentState &Agent, const AttemptStart &m) {
+AdmissionRequest admissionRequestOf(const AgentState &Agent, const AttemptStart &m) {
   const Document &Doc = *Agent.View.InForce;
   const WorkClass *Class = findClass(Doc, m.Class);
-  Admittee One;
-  One.Who = {m.Attempt, m.Tenant, workspaceWeight(Doc, m.Tenant),
+  AdmissionRequest One;
+  One.Who = {m.Attempt, m.Workspace, workspaceWeight(Doc, m.Workspace),
              Class == nullptr ? 1 : Class->Priority};
   if (Agent.Config.FifoQueue)
     One.Who = {m.Attempt, {}, 1, 1};
@@ -169,7 +169,7 @@
   // A leaving entry only asks whether its key ran; nothing is to run for it.
   if (m.RemainingMillis == 0)
     return ErrorKind::Deadline;
-  if (!Agent.View.InForce || !viewIsFresh(Agent.Fleet))
+  if (!Agent.View.InForce || !isViewFresh(Agent.Fleet))
     return ErrorKind::StaleView;
   const Document &Doc = *Agent.View.InForce;
   if (Doc.DomainsOut.contains(Agent.Fleet.Self.Domain))
@@ -195,7 +195,7 @@
 /** Sends an attempt to the back end. */
 void beginAttempt(AgentState &Agent, Attempt &One, TimePoint Now,
                   Effects &Out) {
-  One.State = AttemptKnown::Running;
+  One.State = KnownAttemptState::Running;
   One.StartedAt = Now;
   One.RanAlone = Agent.Gate.Alone == One.StartMessage.Attempt;
   ++Agent.Counters.Started;
@@ -220,7 +220,7 @@
   if (!Call.Key.Value.empty())
     Call.Timeout = std::max(Call.Timeout, Agent.View.InForce->RetryHorizon);
   markKeyRunning(Agent, One.StartMessage);
-  sendBegun(One, {}, Out);
+  sendAttemptStarted(One, {}, Out);
   Out.push_back(RunService{Call});
 }
 
@@ -234,19 +234,19 @@
                 Ran::No, Out);
     return;
   }
-  Admittee Candidate = admissionRequestOf(Agent, m);
+  AdmissionRequest Candidate = admissionRequestOf(Agent, m);
   Candidate.Alone = Candidate.Alone || Suspected == Suspicion::RunAlone;
-  const AdmissionAnswer Answer =
-      askToRun(Agent.Gate, Candidate,
+  const AdmissionResult Answer =
+      requestAdmission(Agent.Gate, Candidate,
                !isMostlyStalled(Agent, Now) && isWithinRateLimits(Agent, Now));
-  if (Answer.PushedOut)
-    refuseEvicted(Agent, *Answer.PushedOut, Out);
-  if (Answer.Decision == Admitted::Refuse)
+  if (Answer.EvictedAttempt)
+    refuseEvicted(Agent, *Answer.EvictedAttempt, Out);
+  if (Answer.Decision == AdmissionDecision::Refuse)
     failAttempt(Agent, AttemptId(m.Attempt),
                 {ErrorKind::Overloaded, "queue full",
                  jitteredWait(Answer.RetryAfter, m.Attempt)},
                 Ran::No, Out);
-  if (Answer.Decision == Admitted::Run)
+  if (Answer.Decision == AdmissionDecision::Run)
     beginAttempt(Agent, One, Now, Out);
 }
 
@@ -292,7 +292,7 @@
   if (it == Agent.Attempts.end())
     return;
   it->second.Cancelled = true;
-  if (stopWaiting(Agent.Gate, Which)) {
+  if (removeWaiting(Agent.Gate, Which)) {
     failAttempt(Agent, Which, {ErrorKind::Deadline, "cancelled", {}}, Ran::No,
                 Out);
     return;
@@ -319,7 +319,7 @@
   Out.push_back(LogNote{LogPart::Requests, LogLevel::Info,
                         "Request " + it->second.StartMessage.Request.Value +
                             ": attempt " + Which.Value +
-                            " failed: " + answerFor(Why.Kind).Name + ", ran " +
+                            " failed: " + errorAnswerFor(Why.Kind).Name + ", ran " +
                             std::string(ranName(Executed)) + "."});
   const AttemptStart Asked = it->second.StartMessage;
   archiveAttempt(Agent, Which, m);
@@ -352,8 +352,8 @@
     One.Link = Link;
     One.LinkLostAt.reset();
     Out.push_back(SendMessage{Link, AttemptStatus{m.Attempt, One.State, Self}});
-    if (One.BegunSent)
-      Out.push_back(SendMessage{Link, AttemptBegun{m.Attempt, One.Weights}});
+    if (One.AttemptStartedSent)
+      Out.push_back(SendMessage{Link, AttemptStarted{m.Attempt, One.Weights}});
     resendFrames(Link, m.Attempt, One.StartMessage.ResumeFrom, One.Frames, m.NextFrame,
                  Out);
     return;
@@ -361,13 +361,13 @@
   if (const auto it = Agent.Ended.ById.find(m.Attempt);
       it != Agent.Ended.ById.end()) {
     Out.push_back(SendMessage{
-        Link, AttemptStatus{m.Attempt, AttemptKnown::Finished, Self}});
+        Link, AttemptStatus{m.Attempt, KnownAttemptState::Finished, Self}});
     resendEnd(Link, m, it->second, Out);
     return;
   }
-  const bool Certain = isEndedComplete(Agent.Ended, Now);
+  const bool Certain = hasAllEndedAttempts(Agent.Ended, Now);
   Out.push_back(
-      SendMessage{Link, AttemptStatus{m.Attempt, AttemptKnown::NeverSeen,
+      SendMessage{Link, AttemptStatus{m.Attempt, KnownAttemptState::NeverSeen,
                                       Certain ? Self : Incarnation{}}});
   // Its AttemptStart may still arrive over the old link and must not run then.
   EndedAttempt Revoked;
@@ -398,11 +398,11 @@
   return One.StartMessage.ResumeFrom + One.Frames.size();
 }
 
-void sendBegun(Attempt &One, const Digest &Weights, Effects &Out) {
-  One.BegunSent = true;
+void sendAttemptStarted(Attempt &One, const Digest &Weights, Effects &Out) {
+  One.AttemptStartedSent = true;
   One.Weights = Weights;
   Out.push_back(
-      SendMessage{One.Link, AttemptBegun{One.StartMessage.Attempt, Weights}});
+      SendMessage{One.Link, AttemptStarted{One.StartMessage.Attempt, Weights}});
 }
 
 void sendFrame(Attempt &One, const std::string &Data, Effects &Out) {
@@ -417,7 +417,7 @@
   // report starts the rest.
   while (maySendPrompt(Agent.Prefill, Now) && !isMostlyStalled(Agent, Now) &&
          isWithinRateLimits(Agent, Now)) {
-    const auto Next = nextToRun(Agent.Gate);
+    const auto Next = admitNext(Agent.Gate);
     if (!Next)
       return;
     if (Agent.SlotsById.contains(*Next)) {
@@ -429,7 +429,7 @@
       beginAttempt(Agent, One, Now, Out);
       continue;
     }
-    runEnded(Agent.Gate, *Next, RunEnd::NotStarted, {});
+    recordRunEnd(Agent.Gate, *Next, RunEnd::NotStarted, {});
     failAttempt(Agent, *Next, {ErrorKind::Deadline, "waited too long", {}},
                 Ran::No, Out);
   }
@@ -443,20 +443,20 @@
                 Out);
     return;
   }
-  Admittee Candidate = admissionRequestOf(Agent, One.StartMessage);
+  AdmissionRequest Candidate = admissionRequestOf(Agent, One.StartMessage);
   Candidate.Alone = true;
-  const AdmissionAnswer Answer = askToRun(Agent.Gate, Candidate);
-  if (Answer.Decision == Admitted::Refuse)
+  const AdmissionResult Answer = requestAdmission(Agent.Gate, Candidate);
+  if (Answer.Decision == AdmissionDecision::Refuse)
     failAttempt(Agent, Which,
                 {ErrorKind::Overloaded, "queue full", Answer.RetryAfter},
                 Ran::No, Out);
-  if (Answer.Decision == Admitted::Run)
+  if (Answer.Decision == AdmissionDecision::Run)
     beginAttempt(Agent, One, Now, Out);
 }
 
 void refuseWaiting(AgentState &Agent, ErrorKind Kind, Effects &Out) {
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
-    stopWaiting(Agent.Gate, Which);
+    removeWaiting(Agent.Gate, Which);
     refuseSlot(Agent, Which, {Kind, "", {}}, Out);
     failAttempt(Agent, Which, {Kind, "", {}}, Ran::No, Out);
   }
@@ -471,7 +471,7 @@
     if (One.LastTokenAt == TimePoint{})
       continue;
     ++Begun;
-    Stalled += farOverWarm(Agent.Gate.Pace, Now - One.LastTokenAt) ? 1 : 0;
+    Stalled += isFarAboveWarm(Agent.Gate.Pace, Now - One.LastTokenAt) ? 1 : 0;
   }
   return Begun >= MinAnswersForStall && Stalled * 2 > Begun;
 }
@@ -481,7 +481,7 @@
     const auto it = Agent.Attempts.find(Which);
     if (it == Agent.Attempts.end() || Now < it->second.Deadline)
       continue; // expireSlots() handles slots.
-    stopWaiting(Agent.Gate, Which);
+    removeWaiting(Agent.Gate, Which);
     failAttempt(Agent, Which, {ErrorKind::Deadline, "waited too long", {}},
                 Ran::No, Out);
   }
--- a/packages/core/src/attempts/attempt_func.h
+++ b/packages/core/src/attempts/attempt_func.h
@@ -106,7 +106,7 @@
  * @param Weights Weights that produce the answer; empty: none.
  * @param Out Effects are appended.
  */
-void sendBegun(Attempt &One, const Digest &Weights, Effects &Out);
+void sendAttemptStarted(Attempt &One, const Digest &Weights, Effects &Out);
 
 /**
  * Sends one piece of an answer to the entry and keeps it for a repeat.
--- a/packages/core/src/attempts/back_end_death.cpp
+++ b/packages/core/src/attempts/back_end_death.cpp
@@ -22,7 +22,7 @@
 
 /** Gives the fingerprint by which a request is recognised as suspect. */
 Digest fingerprintOf(const AttemptStart &m) {
-  return fingerprintOf(m.Tenant, m.Class, m.Body);
+  return fingerprintOf(m.Workspace, m.Class, m.Body);
 }
 
 /** Lists the attempts whose runs broke off and are not resolved yet. */
@@ -43,7 +43,7 @@
   // A new incarnation does not continue runs of the old one, even if the close
   // of their connections has not been seen yet.
   for (const auto &[Id, One] : Agent.Attempts)
-    if (Replaced && !One.BreakFailure && One.State == AttemptKnown::Running)
+    if (Replaced && !One.BreakFailure && One.State == KnownAttemptState::Running)
       All.push_back(Id);
   return All;
 }
@@ -58,8 +58,8 @@
   Notice.Fingerprint = fingerprintOf(One.StartMessage);
   Notice.DeathId = One.ReportedDeath;
   Notice.WasAlone = One.RanAlone;
-  if (noteSuspect(Agent.Suspects, Notice, Now))
-    spreadNotice(Agent.Fleet, Notice, {}, Out);
+  if (applySuspectNotice(Agent.Suspects, Notice, Now))
+    broadcastNotice(Agent.Fleet, Notice, {}, Out);
 }
 
 /** Tells all peers that a request is no suspect after all, since the back end
@@ -72,8 +72,8 @@
   ++Agent.WithdrawnDeaths;
   const SuspectNotice Notice{fingerprintOf(One.StartMessage), One.ReportedDeath, 0,
                              false, true};
-  if (noteSuspect(Agent.Suspects, Notice, Now))
-    spreadNotice(Agent.Fleet, Notice, {}, Out);
+  if (applySuspectNotice(Agent.Suspects, Notice, Now))
+    broadcastNotice(Agent.Fleet, Notice, {}, Out);
 }
 
 /** Tells all peers that the lost attempts are suspect, then fails them. */
@@ -109,7 +109,7 @@
 static void updateRunningSuspects(AgentState &Agent, const std::string &Run,
                                   TimePoint Now, Effects &Out) {
   for (auto &[Id, One] : Agent.Attempts) {
-    if (One.State != AttemptKnown::Running || One.BreakFailure)
+    if (One.State != KnownAttemptState::Running || One.BreakFailure)
       continue;
     if (Run.empty()) {
       reportSuspect(Agent, One, Now, Out);
@@ -151,13 +151,13 @@
 
 void handleSuspectNotice(AgentState &Agent, const SuspectNotice &Notice,
                          TimePoint Now, Effects &Out) {
-  if (!noteSuspect(Agent.Suspects, Notice, Now) || Notice.Cleared)
+  if (!applySuspectNotice(Agent.Suspects, Notice, Now) || Notice.Cleared)
     return;
   for (const AttemptId &Which : waitingAttempts(Agent.Gate)) {
     const AttemptStart Asked = Agent.Attempts.at(Which).StartMessage;
     if (fingerprintOf(Asked) != Notice.Fingerprint)
       continue;
-    stopWaiting(Agent.Gate, Which);
+    removeWaiting(Agent.Gate, Which);
     readmitSuspect(Agent, Which, Now, Out);
   }
   startWaitingWork(Agent, Now, Out);
--- a/packages/core/src/attempts/call.cpp
+++ b/packages/core/src/attempts/call.cpp
@@ -92,13 +92,13 @@
   const bool MayRunAgain =
       (Executed == Ran::No && !ActiveCall.HomeConfirmedNotRun) ||
       isRepeatable(Entry, ActiveCall);
-  const bool IsTransient = answerFor(Why.Kind).RetryAfterMillis > 0 ||
+  const bool IsTransient = errorAnswerFor(Why.Kind).RetryAfterMillis > 0 ||
                            Why.Kind == ErrorKind::OutcomeUnknown;
   const bool CanStillTry =
       ActiveCall.Tries < MaxAttemptsPerCall && Now < ActiveCall.Deadline;
   if (MayRunAgain && IsTransient && CanStillTry &&
       trySpendRetry(Entry.Retries, ActiveCall.Received.Class,
-                    ActiveCall.Received.Tenant)) {
+                    ActiveCall.Received.Workspace)) {
     startAttempt(Entry, ActiveCall, Now, Out);
     return;
   }
@@ -124,7 +124,7 @@
   m.Attempt = Next.Id;
   m.Request = ActiveCall.Received.Request;
   m.Class = ActiveCall.Received.Class;
-  m.Tenant = ActiveCall.Received.Tenant;
+  m.Workspace = ActiveCall.Received.Workspace;
   m.Body = ActiveCall.Received.Body;
   m.RemainingMillis =
       ActiveCall.QueryOnly ? 0 : remainingMillisForAgent(ActiveCall, Now);
@@ -139,8 +139,8 @@
 /** Ends a call whose request has made too many back ends fail. */
 void endQuarantinedCall(EntryState &Entry, const Call &ActiveCall,
                         TimePoint Now, Effects &Out) {
-  const Millis Left = refusedFor(Entry.Suspects,
-                                 fingerprintOf(ActiveCall.Received.Tenant,
+  const Millis Left = refusalTimeLeft(Entry.Suspects,
+                                 fingerprintOf(ActiveCall.Received.Workspace,
                                                ActiveCall.Received.Class,
                                                ActiveCall.Received.Body),
                                  Now);
@@ -284,7 +284,7 @@
   Failure Final = Why;
   if (ActiveCall.NextFrame > 0 && Why.Kind != ErrorKind::PartialAnswer)
     Final = {ErrorKind::PartialAnswer,
-             std::string(answerFor(Why.Kind).Name) + " " + Why.Detail,
+             std::string(errorAnswerFor(Why.Kind).Name) + " " + Why.Detail,
              Why.RetryAfter};
   ++Entry.Counters.Errors[Final.Kind];
   CallError Error{Id, Final, Reported, {}, {}};
@@ -292,12 +292,12 @@
     Error.Token = makeHomeToken(Entry, ActiveCall.Received.Class);
   // These errors concern this entry only: the caller may try another one.
   if (Final.Kind == ErrorKind::Leaving || Final.Kind == ErrorKind::StaleView)
-    Error.Elsewhere = addressesFor(Entry, ActiveCall.Received.Caller);
+    Error.AlternativeEntries = entryAddressesFor(Entry, ActiveCall.Received.Caller);
   Out.push_back(std::move(Error));
   Entry.Calls.erase(it);
 }
 
-void handleAttemptBegun(EntryState &Entry, const AttemptBegun &m,
+void handleAttemptStarted(EntryState &Entry, const AttemptStarted &m,
                         Effects &Out) {
   Call *ActiveCall = findCall(Entry, m.Attempt);
   if (ActiveCall == nullptr) {
@@ -406,7 +406,7 @@
     ++Entry.Counters.DroppedFrames;
     return;
   }
-  if (m.Known != AttemptKnown::NeverSeen) {
+  if (m.Known != KnownAttemptState::NeverSeen) {
     ActiveCall->Attempt.LinkLostAt.reset();
     ++Entry.Counters.Recovered;
     return;
--- a/packages/core/src/attempts/chunk_list.cpp
+++ b/packages/core/src/attempts/chunk_list.cpp
@@ -30,19 +30,19 @@
     Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
                           "event=set_wanted set=" + Wanted.Set.Value +
                               " loaded=" + Agent.Weights.Loaded.Value});
-  wantWeights(Agent.Weights, Wanted);
-  planTransfer(Agent.Transfer, Agent.Weights, *Agent.View.InForce,
+  setWantedWeights(Agent.Weights, Wanted);
+  updateTransferPlan(Agent.Transfer, Agent.Weights, *Agent.View.InForce,
                Agent.Fleet.Self.Name, Now);
   // After a restart of the agent beside a loaded engine, the staged chunks need
   // not be fetched, and peers can fetch them from here.
   if (IsNew && !Agent.Config.EngineUrl.empty() && !Wanted.Origin.Value.empty())
-    Out.push_back(ReadStaged{missingChunks(Agent.Transfer)});
+    Out.push_back(FindStagedChunks{missingChunks(Agent.Transfer)});
 }
 
 /** Sends the chunk list to agents of this domain that don't have it yet. */
 void sendListToPeers(const AgentState &Agent, Effects &Out) {
   const ModelVersion &Wanted = Agent.Weights.Wanted;
-  const ChunkListTold Told{Wanted.Name, Wanted.Version, Wanted.ChunkBytes,
+  const ChunkListNotice Told{Wanted.Name, Wanted.Version, Wanted.ChunkBytes,
                            Wanted.Chunks};
   for (const auto &[Link, Peer] : Agent.Transfer.Peers)
     if (Peer.SameDomain && Peer.Announced.Set != Wanted.Set)
@@ -59,13 +59,13 @@
   Known.TotalBytes = Known.ChunkBytes * Known.Chunks.size();
   selectVersion(Agent, Known, Now, Out);
   sendListToPeers(Agent, Out);
-  moveChunks(Agent.Transfer, Agent.Weights, Now, Out);
+  advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
 }
 
 /** Accepts the latest list from a peer if it is that of the pending version.
  * @return False when it is not. */
 bool applyLastNotice(AgentState &Agent, TimePoint Now, Effects &Out) {
-  const ChunkListTold &Told = Agent.LastListNotice;
+  const ChunkListNotice &Told = Agent.LastListNotice;
   const bool IsPending = !Agent.PendingVersion.Set.Value.empty() &&
                          Agent.PendingVersion.Name == Told.Model &&
                          Agent.PendingVersion.Version == Told.Version;
@@ -140,7 +140,7 @@
   return true;
 }
 
-bool handleListNotice(AgentState &Agent, LinkId Link, const ChunkListTold &Told,
+bool handleListNotice(AgentState &Agent, LinkId Link, const ChunkListNotice &Told,
                       TimePoint Now, Effects &Out) {
   // Links have checksums, and the list was read twice by the sender or by the
   // one that sent it there.
--- a/packages/core/src/attempts/ended_attempts.cpp
+++ b/packages/core/src/attempts/ended_attempts.cpp
@@ -67,7 +67,7 @@
   }
 }
 
-bool isEndedComplete(const EndedAttempts &Ended, TimePoint Now) {
+bool hasAllEndedAttempts(const EndedAttempts &Ended, TimePoint Now) {
   return Now >= Ended.CompleteSince;
 }
 
--- a/packages/core/src/attempts/ended_attempts_func.h
+++ b/packages/core/src/attempts/ended_attempts_func.h
@@ -49,7 +49,7 @@
  * @return False while attempts are missing that were removed before their time
  *   for lack of space.
  */
-bool isEndedComplete(const EndedAttempts &Ended, TimePoint Now);
+bool hasAllEndedAttempts(const EndedAttempts &Ended, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/entry.cpp
+++ b/packages/core/src/attempts/entry.cpp
@@ -34,13 +34,13 @@
  */
 void updateWantedPeers(EntryState &Entry, TimePoint Now, Effects &Out) {
   std::vector<PeerAddress> Peers;
-  if (!viewIsFresh(Entry.Fleet))
+  if (!isViewFresh(Entry.Fleet))
     Peers = seedPeers(Entry.Config);
   const std::vector<PeerAddress> Published = linkSubset(
       *Entry.View.InForce, knownEntries(Entry.View.InForce.get(), Entry.Fleet),
       Entry.Fleet.Self);
   Peers.insert(Peers.end(), Published.begin(), Published.end());
-  for (const LinkId Link : wantPeers(Entry.Fleet, Peers, Out))
+  for (const LinkId Link : setWantedPeers(Entry.Fleet, Peers, Out))
     markAttemptsLost(Entry, Link, Now);
 }
 
@@ -62,8 +62,8 @@
   if (Read.Value.has_value() == !WasLost)
     return;
   const std::string SilentMillis =
-      Joining.ServiceHeard
-          ? std::to_string(toMillis(Now - *Joining.ServiceHeard).count())
+      Joining.LastServiceAnswerAt
+          ? std::to_string(toMillis(Now - *Joining.LastServiceAnswerAt).count())
           : "-";
   const std::string Version = std::to_string(versionInForce(Entry.View).Value);
   if (!Read.Value)
@@ -105,7 +105,7 @@
 bool mayQueryHome(const EntryState &Entry, const CallRequest &Request,
                   TimePoint Now) {
   if (Now >= Entry.HomeQueriesUntil || !Entry.View.InForce ||
-      !viewIsFresh(Entry.Fleet))
+      !isViewFresh(Entry.Fleet))
     return false;
   const WorkClass *Class = findClass(*Entry.View.InForce, Request.Class);
   return Class != nullptr && !Class->Repeatable && !Request.Key.Value.empty() &&
@@ -120,11 +120,11 @@
   Entry.Config = Config;
   Entry.Fleet = makeMembership(Config, Role::Entry, Run, Now);
   Effects None;
-  wantPeers(Entry.Fleet, seedPeers(Config), None);
+  setWantedPeers(Entry.Fleet, seedPeers(Config), None);
   return Entry;
 }
 
-void entryCall(EntryState &Entry, const CallRequest &Request, TimePoint Now,
+void startCall(EntryState &Entry, const CallRequest &Request, TimePoint Now,
                Effects &Out) {
   handlePause(Entry, Now, Out);
   ++Entry.Counters.Calls;
@@ -138,7 +138,7 @@
                      Out);
     return;
   }
-  if (!Entry.View.InForce || !viewIsFresh(Entry.Fleet)) {
+  if (!Entry.View.InForce || !isViewFresh(Entry.Fleet)) {
     endCallWithError(Entry, Request.Call, {ErrorKind::StaleView, "", {}},
                      Ran::No, Out);
     return;
@@ -167,7 +167,7 @@
   // Keys of repeatable classes have no home and are not passed on.
   if (Class->Repeatable)
     Current.Received.Key = IdempotencyKey{};
-  creditFirstAttempt(Entry.Retries, Request.Class, Request.Tenant, Now);
+  creditFirstAttempt(Entry.Retries, Request.Class, Request.Workspace, Now);
   const Millis Longest = Class->Deadline;
   const Millis Wanted = Request.Deadline.count() > 0
                             ? std::min(Request.Deadline, Longest)
@@ -180,7 +180,7 @@
   startAttempt(Entry, Current, Now, Out);
 }
 
-void entryCallGone(EntryState &Entry, CallId Abandoned, Effects &Out) {
+void cancelCall(EntryState &Entry, CallId Abandoned, Effects &Out) {
   const auto it = Entry.Calls.find(Abandoned);
   if (it == Entry.Calls.end())
     return;
@@ -193,40 +193,40 @@
                    Discarded);
 }
 
-void entryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
+void handleEntryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out) {
-  linkOpened(Entry.Fleet, Link, Now, Out);
+  handleLinkOpened(Entry.Fleet, Link, Now, Out);
 }
 
-void entryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
+void handleEntryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out) {
   const std::optional<HostName> Refused = peerOfOpeningLink(Entry.Fleet, Link);
-  noteLinkLost(Entry.Fleet, Link, Now, Out);
-  linkClosed(Entry.Fleet, Link, Now);
+  logLinkLost(Entry.Fleet, Link, Now, Out);
+  handleLinkClosed(Entry.Fleet, Link, Now);
   markAttemptsLost(Entry, Link, Now);
   if (Refused)
     handleAgentUnreachable(Entry, *Refused, Now, Out);
 }
 
-void entryMessage(EntryState &Entry, LinkId Link, const Message &m,
+void handleEntryMessage(EntryState &Entry, LinkId Link, const Message &m,
                   TimePoint Now, Effects &Out) {
   handlePause(Entry, Now, Out);
-  if (!linkHeard(Entry.Fleet, Link, Now))
+  if (!recordLinkActivity(Entry.Fleet, Link, Now))
     return;
   recordReportedLoad(Entry.Fleet, Link, m, Now);
-  const FleetNews NewsKind =
-      fleetMessage(Entry.View, Entry.Fleet, Link, m, Now, Out);
-  if (NewsKind == FleetNews::NewDocument ||
-      (NewsKind == FleetNews::NewEntry && Entry.View.InForce))
+  const FleetMessageResult MessageResult =
+      handleFleetMessage(Entry.View, Entry.Fleet, Link, m, Now, Out);
+  if (MessageResult == FleetMessageResult::NewDocument ||
+      (MessageResult == FleetMessageResult::NewEntry && Entry.View.InForce))
     updateWantedPeers(Entry, Now, Out);
   if (std::holds_alternative<Hello>(m))
-    tellSuspects(Entry.Suspects, Link, Now, Out);
+    sendSuspects(Entry.Suspects, Link, Now, Out);
   if (const auto *Peer = std::get_if<Hello>(&m))
     handleAgentReached(Entry, Peer->Name, Link, Now, Out);
-  if (NewsKind != FleetNews::NotMine)
+  if (MessageResult != FleetMessageResult::Unrelated)
     return;
-  std::visit(Overloaded{[&](const AttemptBegun &Begun) {
-                          handleAttemptBegun(Entry, Begun, Out);
+  std::visit(Overloaded{[&](const AttemptStarted &Begun) {
+                          handleAttemptStarted(Entry, Begun, Out);
                         },
                         [&](const AnswerFrame &Frame) {
                           handleAnswerFrame(Entry, Frame, Out);
@@ -238,8 +238,8 @@
                           handleAttemptFailed(Entry, Failed, Now, Out);
                         },
                         [&](const SuspectNotice &Notice) {
-                          if (noteSuspect(Entry.Suspects, Notice, Now))
-                            spreadNotice(Entry.Fleet, Notice, Role::Entry, Out);
+                          if (applySuspectNotice(Entry.Suspects, Notice, Now))
+                            broadcastNotice(Entry.Fleet, Notice, Role::Entry, Out);
                         },
                         [&](const AttemptStatus &Status) {
                           handleAttemptStatus(Entry, Status, Now, Out);
@@ -250,46 +250,46 @@
              m);
 }
 
-void entryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
+void handleEntryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
                      TimePoint Began, TimePoint Now, Effects &Out) {
   handlePause(Entry, Now, Out);
   logConfigServiceChange(Entry, Read, Now, Out);
   if (!Read.Value || Read.Value->empty()) {
-    readEnded(Entry.Fleet, Read.Value.has_value(), true, Began, Now);
+    recordReadResult(Entry.Fleet, Read.Value.has_value(), true, Began, Now);
     return;
   }
   const OfferResult Offer =
-      takeDocument(Entry.View, Entry.Fleet, *Read.Value, Now, Out);
-  readEnded(Entry.Fleet, true,
+      applyDocument(Entry.View, Entry.Fleet, *Read.Value, Now, Out);
+  recordReadResult(Entry.Fleet, true,
             Offer == OfferResult::Accepted || Offer == OfferResult::Same, Began,
             Now);
   if (Offer == OfferResult::Accepted)
     updateWantedPeers(Entry, Now, Out);
 }
 
-void entryHostsRead(EntryState &Entry, const std::vector<HostName> &Leaving,
+void handleEntryHostList(EntryState &Entry, const std::vector<HostName> &Leaving,
                     TimePoint Now, Effects &Out) {
   handlePause(Entry, Now, Out);
-  hostListRead(Entry.Fleet, Leaving, Now, Out);
+  handleHostList(Entry.Fleet, Leaving, Now, Out);
 }
 
-void entryTick(EntryState &Entry, TimePoint Now, Effects &Out) {
+void handleEntryTick(EntryState &Entry, TimePoint Now, Effects &Out) {
   handlePause(Entry, Now, Out);
-  const bool WasFresh = viewIsFresh(Entry.Fleet);
-  for (const LinkId Link : fleetTick(Entry.View, Entry.Fleet, Now, Out)) {
+  const bool WasFresh = isViewFresh(Entry.Fleet);
+  for (const LinkId Link : tickFleet(Entry.View, Entry.Fleet, Now, Out)) {
     Out.push_back(LogNote{LogPart::Links, LogLevel::Warn,
                           "Link " + std::to_string(Link.Value) +
                               " timed out: nothing was received."});
     markAttemptsLost(Entry, Link, Now);
   }
-  if (!WasFresh && viewIsFresh(Entry.Fleet)) // Drops the seed peers.
+  if (!WasFresh && isViewFresh(Entry.Fleet)) // Drops the seed peers.
     updateWantedPeers(Entry, Now, Out);
   endExpiredCalls(Entry, Now, Out);
-  forgetSuspects(Entry.Suspects, Now);
+  dropExpiredSuspects(Entry.Suspects, Now);
   expireLostAttempts(Entry, Now, Out);
 }
 
-void entryStop(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
+void beginEntryShutdown(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
                Effects &Out) {
   Entry.Stopping = true;
   Entry.HomeQueriesUntil = Now + HomeQueryTime;
@@ -297,7 +297,7 @@
   sendHeartbeats(Entry.Fleet, Entry.View, Now, Out);
 }
 
-void entryCutOff(EntryState &Entry, Effects &Out) {
+void endAllCalls(EntryState &Entry, Effects &Out) {
   std::vector<CallId> Open;
   Open.reserve(Entry.Calls.size());
   for (const auto &[Id, ActiveCall] : Entry.Calls)
--- a/packages/core/src/attempts/entry_func.h
+++ b/packages/core/src/attempts/entry_func.h
@@ -29,7 +29,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryCall(EntryState &Entry, const CallRequest &Request, TimePoint Now,
+void startCall(EntryState &Entry, const CallRequest &Request, TimePoint Now,
                Effects &Out);
 
 /**
@@ -39,7 +39,7 @@
  * @param Abandoned The call.
  * @param Out Effect list to append to.
  */
-void entryCallGone(EntryState &Entry, CallId Abandoned, Effects &Out);
+void cancelCall(EntryState &Entry, CallId Abandoned, Effects &Out);
 
 /**
  * Handles a link that has opened: sends the first message on it.
@@ -48,7 +48,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
+void handleEntryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out);
 
 /**
@@ -59,7 +59,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
+void handleEntryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
                      Effects &Out);
 
 /**
@@ -70,7 +70,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryMessage(EntryState &Entry, LinkId Link, const Message &m,
+void handleEntryMessage(EntryState &Entry, LinkId Link, const Message &m,
                   TimePoint Now, Effects &Out);
 
 /**
@@ -82,7 +82,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
+void handleEntryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
                      TimePoint Began, TimePoint Now, Effects &Out);
 
 /**
@@ -92,7 +92,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryHostsRead(EntryState &Entry, const std::vector<HostName> &Leaving,
+void handleEntryHostList(EntryState &Entry, const std::vector<HostName> &Leaving,
                     TimePoint Now, Effects &Out);
 
 /**
@@ -102,7 +102,7 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void entryTick(EntryState &Entry, TimePoint Now, Effects &Out);
+void handleEntryTick(EntryState &Entry, TimePoint Now, Effects &Out);
 
 /**
  * Begins a graceful shutdown: refuses new requests and tells the peers.
@@ -112,7 +112,7 @@
  * refused.
  * @param Out Effect list to append to.
  */
-void entryStop(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
+void beginEntryShutdown(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
                Effects &Out);
 
 /**
@@ -121,7 +121,7 @@
  * @param Entry State to change.
  * @param Out Effect list to append to.
  */
-void entryCutOff(EntryState &Entry, Effects &Out);
+void endAllCalls(EntryState &Entry, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/entry_type.h
+++ b/packages/core/src/attempts/entry_type.h
@@ -22,7 +22,7 @@
   CallId Call;        ///< Assigned by the traffic thread.
   RequestId Request;  ///< Request id, for logs and answers.
   ClassName Class;    ///< Class of work.
-  TenantName Tenant;  ///< Workspace of the caller.
+  WorkspaceName Workspace;  ///< Workspace of the caller.
   IdempotencyKey Key; ///< Empty when none was sent.
   std::string Token;  ///< Home token; empty when none was sent.
   std::string Caller; ///< Caller id, to spread callers over entries.
--- a/packages/core/src/attempts/home_token.cpp
+++ b/packages/core/src/attempts/home_token.cpp
@@ -24,8 +24,8 @@
 
 /** Text of a key for rendezvous hashing; the same at every process. */
 std::string rendezvousKey(const KeyName &Key) {
-  const auto &[Class, Tenant, Name] = Key;
-  return Json({Class.Value, Tenant.Value, Name.Value})
+  const auto &[Class, Workspace, Name] = Key;
+  return Json({Class.Value, Workspace.Value, Name.Value})
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- a/packages/core/src/attempts/home_token_func.h
+++ b/packages/core/src/attempts/home_token_func.h
@@ -28,7 +28,7 @@
 namespace jacinthpond {
 
 /** Identifies a key among all classes and workspaces. */
-using KeyName = std::tuple<ClassName, TenantName, IdempotencyKey>;
+using KeyName = std::tuple<ClassName, WorkspaceName, IdempotencyKey>;
 
 /** Limit of homes in a token; bounds the length of its header. */
 constexpr size_t MaxTokenHomes = 8;
--- a/packages/core/src/attempts/idempotency.cpp
+++ b/packages/core/src/attempts/idempotency.cpp
@@ -21,7 +21,7 @@
 constexpr Millis MaxConfigDelay{10000};
 
 /** Removes the record of a key, if there is one. */
-void eraseRecord(KeyBook &Store, const KeyName &Key) {
+void eraseRecord(KeyStore &Store, const KeyName &Key) {
   const auto it = Store.Records.find(Key);
   if (it == Store.Records.end())
     return;
@@ -33,7 +33,7 @@
 }
 
 /** Changes the time at which a record expires. */
-void setExpiry(KeyBook &Store, const KeyName &Key, KeyRecord &Record,
+void setExpiry(KeyStore &Store, const KeyName &Key, KeyRecord &Record,
                TimePoint When) {
   Store.ByExpiry.erase({Record.ExpiresAt, Key});
   Record.ExpiresAt = When;
@@ -44,13 +44,13 @@
  * When a record made now under a token expires: later than any token that this
  * home accepts now.
  */
-TimePoint tokenExpiry(const KeyBook &Store) {
+TimePoint tokenExpiry(const KeyStore &Store) {
   return Store.EpochStart + (KeptEpochs + 1) * KeyEpochLength;
 }
 
 /** Decides about a key without a record by its token. */
-KeyVerdict decideByToken(const KeyBook &Store, const HostName &Self,
-                         const KeyAsked &Request) {
+KeyDecision decideByToken(const KeyStore &Store, const HostName &Self,
+                         const KeyedRequest &Request) {
   const auto Read = outcomeOf([&] { return readToken(Request.Token); });
   if (!Read.Value)
     return {KeyChoice::Unknown, Millis{0}, "unreadable token"};
@@ -70,8 +70,8 @@
  * earlier document, so this home waits until callers have stopped repeating
  * calls from that time.
  */
-KeyVerdict decideByDocuments(const KeyBook &Store, const Document &Doc,
-                             const HostName &Self, const KeyAsked &Request,
+KeyDecision decideByDocuments(const KeyStore &Store, const Document &Doc,
+                             const HostName &Self, const KeyedRequest &Request,
                              TimePoint Now) {
   const Millis Horizon = keyRetryHorizon(Doc, Request.Key);
   if (homeFromDocument(Doc, Request.Key) != Self)
@@ -90,36 +90,36 @@
  * Decides about a key that was refused before; nothing when it comes with
  * another token.
  */
-std::optional<KeyVerdict> decideRefusedKey(const KeyRecord &Record,
-                                           const KeyAsked &Request,
+std::optional<KeyDecision> decideRefusedKey(const KeyRecord &Record,
+                                           const KeyedRequest &Request,
                                            TimePoint Now) {
   if (Record.Token != Request.Token)
     return std::nullopt;
   // The caller was told "not run" and may have run it elsewhere since.
   if (!Request.Token.empty())
-    return KeyVerdict{KeyChoice::Refuse, Millis{0}, "refused before"};
-  return KeyVerdict{KeyChoice::Refuse,
+    return KeyDecision{KeyChoice::Refuse, Millis{0}, "refused before"};
+  return KeyDecision{KeyChoice::Refuse,
                     std::max(Millis{1}, toMillis(Record.ExpiresAt - Now)),
                     "refused a moment ago"};
 }
 
 /** Decides about a key by its record; nothing when it counts as a new key. */
-std::optional<KeyVerdict> decideByRecord(const KeyRecord &Record,
-                                         const KeyAsked &Request,
+std::optional<KeyDecision> decideByRecord(const KeyRecord &Record,
+                                         const KeyedRequest &Request,
                                          TimePoint Now) {
   if (Record.State == KeyState::Refused)
     return decideRefusedKey(Record, Request, Now);
   if (Record.Body != Request.Body)
-    return KeyVerdict{KeyChoice::Conflict, Millis{0}, ""};
+    return KeyDecision{KeyChoice::Conflict, Millis{0}, ""};
   if (Record.State == KeyState::Done)
-    return KeyVerdict{KeyChoice::Answer, Millis{0}, ""};
-  return KeyVerdict{KeyChoice::Follow, Millis{0}, ""};
+    return KeyDecision{KeyChoice::Answer, Millis{0}, ""};
+  return KeyDecision{KeyChoice::Follow, Millis{0}, ""};
 }
 
 } // namespace
 
-KeyBook makeKeyBook(TimePoint Now) {
-  KeyBook Store;
+KeyStore makeKeyStore(TimePoint Now) {
+  KeyStore Store;
   Store.Started = Now;
   Store.EpochStart = Now;
   return Store;
@@ -130,14 +130,14 @@
   return Doc.RetryHorizon + (Class == nullptr ? Millis{0} : Class->Deadline);
 }
 
-KeyVerdict judgeKey(const KeyBook &Store, const Document &Doc,
-                    const HostName &Self, const KeyAsked &Request,
+KeyDecision decideKeyedCall(const KeyStore &Store, const Document &Doc,
+                    const HostName &Self, const KeyedRequest &Request,
                     TimePoint Now) {
   const auto it = Store.Records.find(Request.Key);
   if (it != Store.Records.end())
     if (const auto Verdict = decideByRecord(it->second, Request, Now))
       return *Verdict;
-  KeyVerdict Verdict = Request.Token.empty()
+  KeyDecision Verdict = Request.Token.empty()
                            ? decideByDocuments(Store, Doc, Self, Request, Now)
                            : decideByToken(Store, Self, Request);
   if (Verdict.Choice == KeyChoice::Run && Store.Records.size() >= MaxKeyRecords)
@@ -145,7 +145,7 @@
   return Verdict;
 }
 
-KeyRecord &openKey(KeyBook &Store, const Document &Doc, const KeyAsked &Request,
+KeyRecord &addKeyRecord(KeyStore &Store, const Document &Doc, const KeyedRequest &Request,
                    const AttemptId &First, TimePoint Now) {
   eraseRecord(Store, Request.Key);
   KeyRecord &Record = Store.Records[Request.Key];
@@ -160,7 +160,7 @@
   return Record;
 }
 
-std::vector<AttemptId> closeKey(KeyBook &Store, const KeyName &Key,
+std::vector<AttemptId> completeKey(KeyStore &Store, const KeyName &Key,
                                 const std::optional<ServiceAnswer> &Answer) {
   const auto it = Store.Records.find(Key);
   if (it == Store.Records.end())
@@ -172,8 +172,8 @@
     Store.AnswerBytes += Answer->Body.size();
     Store.WithAnswer.insert({Record.ExpiresAt, Key});
   }
-  std::vector<AttemptId> Waiters = std::move(Record.Followers);
-  Record.Followers.clear();
+  std::vector<AttemptId> Waiters = std::move(Record.RepeatAttempts);
+  Record.RepeatAttempts.clear();
   while (Store.AnswerBytes > MaxAnswerBytes) {
     const auto Oldest = Store.WithAnswer.begin();
     KeyRecord &Evicted = Store.Records.at(Oldest->second);
@@ -184,7 +184,7 @@
   return Waiters;
 }
 
-std::vector<AttemptId> refuseKey(KeyBook &Store, const KeyName &Key,
+std::vector<AttemptId> refuseKey(KeyStore &Store, const KeyName &Key,
                                  TimePoint Now) {
   const auto it = Store.Records.find(Key);
   if (it == Store.Records.end())
@@ -193,12 +193,12 @@
   Record.State = KeyState::Refused;
   if (Record.Token.empty())
     setExpiry(Store, Key, Record, Now + RefusedKeyHold);
-  std::vector<AttemptId> Waiters = std::move(Record.Followers);
-  Record.Followers.clear();
+  std::vector<AttemptId> Waiters = std::move(Record.RepeatAttempts);
+  Record.RepeatAttempts.clear();
   return Waiters;
 }
 
-void keepPastList(KeyBook &Store, const DocumentPtr &Before, TimePoint Now) {
+void recordPastDocument(KeyStore &Store, const DocumentPtr &Before, TimePoint Now) {
   if (!Before) {
     // No document was in force, so nothing has run here yet.
     Store.Started = Now;
@@ -217,7 +217,7 @@
   Store.PastDocuments.pop_front();
 }
 
-void expireKeys(KeyBook &Store, Incarnation Run, TimePoint Now) {
+void expireKeys(KeyStore &Store, Incarnation Run, TimePoint Now) {
   Store.KnownIncarnations.insert(Run);
   if (Store.KnownIncarnations.size() > MaxIncarnations)
     Store.KnownIncarnations.erase(*Store.KnownIncarnations.begin() == Run ? std::next(Store.KnownIncarnations.begin())
--- a/packages/core/src/attempts/idempotency_func.h
+++ b/packages/core/src/attempts/idempotency_func.h
@@ -36,7 +36,7 @@
  * @return The store; calls without a token are run only after the retry
  * horizon.
  */
-KeyBook makeKeyBook(TimePoint Now);
+KeyStore makeKeyStore(TimePoint Now);
 
 /**
  * Decides whether a home runs, answers or refuses a keyed call.
@@ -47,8 +47,8 @@
  * @param Now Current time.
  * @return What to do with the call.
  */
-KeyVerdict judgeKey(const KeyBook &Store, const Document &Doc,
-                    const HostName &Self, const KeyAsked &Request,
+KeyDecision decideKeyedCall(const KeyStore &Store, const Document &Doc,
+                    const HostName &Self, const KeyedRequest &Request,
                     TimePoint Now);
 
 /**
@@ -61,7 +61,7 @@
  * @param Now Current time.
  * @return The record.
  */
-KeyRecord &openKey(KeyBook &Store, const Document &Doc, const KeyAsked &Request,
+KeyRecord &addKeyRecord(KeyStore &Store, const Document &Doc, const KeyedRequest &Request,
                    const AttemptId &First, TimePoint Now);
 
 /**
@@ -73,7 +73,7 @@
  * lost.
  * @return Attempts that wait for the outcome.
  */
-std::vector<AttemptId> closeKey(KeyBook &Store, const KeyName &Key,
+std::vector<AttemptId> completeKey(KeyStore &Store, const KeyName &Key,
                                 const std::optional<ServiceAnswer> &Answer);
 
 /**
@@ -83,7 +83,7 @@
  * @param Now Current time.
  * @return Attempts that wait for the outcome.
  */
-std::vector<AttemptId> refuseKey(KeyBook &Store, const KeyName &Key,
+std::vector<AttemptId> refuseKey(KeyStore &Store, const KeyName &Key,
                                  TimePoint Now);
 
 /**
@@ -92,7 +92,7 @@
  * @param Before The replaced document; may be null.
  * @param Now Current time.
  */
-void keepPastList(KeyBook &Store, const DocumentPtr &Before, TimePoint Now);
+void recordPastDocument(KeyStore &Store, const DocumentPtr &Before, TimePoint Now);
 
 /**
  * Removes expired records and documents, and begins a new epoch when it is due.
@@ -100,7 +100,7 @@
  * @param Run Incarnation of this process; a pause changes it.
  * @param Now Current time.
  */
-void expireKeys(KeyBook &Store, Incarnation Run, TimePoint Now);
+void expireKeys(KeyStore &Store, Incarnation Run, TimePoint Now);
 
 /**
  * Gives the time after its first call during which a key without a token may
--- a/packages/core/src/attempts/idempotency_type.h
+++ b/packages/core/src/attempts/idempotency_type.h
@@ -40,7 +40,7 @@
   std::string Token;                ///< Home token of the call; empty for none.
   TimePoint ExpiresAt;              ///< When the record is removed.
   AttemptId FirstAttempt;                  ///< The attempt that runs the call.
-  std::vector<AttemptId> Followers; ///< Repeats that get the same answer.
+  std::vector<AttemptId> RepeatAttempts; ///< Repeats that get the same answer.
 };
 
 /** A document that was in force here before. */
@@ -50,7 +50,7 @@
 };
 
 /** Keys that one home has records of. */
-struct KeyBook {
+struct KeyStore {
   std::map<KeyName, KeyRecord> Records;               ///< By key.
   std::set<std::pair<TimePoint, KeyName>> ByExpiry;   ///< In order of expiry.
   std::set<std::pair<TimePoint, KeyName>> WithAnswer; ///< Those with Answer.
@@ -74,14 +74,14 @@
 };
 
 /** Decision about a keyed call, and what the caller is told. */
-struct KeyVerdict {
+struct KeyDecision {
   KeyChoice Choice = KeyChoice::Unknown; ///< What the home does.
   Millis RetryAfter{0};                  ///< Set for Refuse and Warming.
   std::string Detail; ///< Reason, for logs and error details.
 };
 
 /** A keyed call as received by a home. */
-struct KeyAsked {
+struct KeyedRequest {
   KeyName Key;       ///< Class, workspace and key.
   std::string Token; ///< Home token as sent by the caller; empty for none.
   Digest Body;       ///< Digest of the request body.
--- a/packages/core/src/attempts/keyed_attempt.cpp
+++ b/packages/core/src/attempts/keyed_attempt.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 /** Gives the full name of an attempt's idempotency key. */
-KeyName keyNameOf(const AttemptStart &m) { return {m.Class, m.Tenant, m.Key}; }
+KeyName keyNameOf(const AttemptStart &m) { return {m.Class, m.Workspace, m.Key}; }
 
 /** Describes a keyed call: key, home token and digest of the body. */
-KeyAsked keyedRequestOf(const AttemptStart &m) {
+KeyedRequest keyedRequestOf(const AttemptStart &m) {
   return {keyNameOf(m), m.Token, sha256(m.Body)};
 }
 
@@ -43,8 +43,8 @@
 void waitForFirst(AgentState &Agent, const AttemptStart &Asked) {
   KeyRecord &Record = Agent.Keys.Records.at(keyNameOf(Asked));
   ++Agent.Counters.KeyRepeats;
-  Agent.Attempts.at(Asked.Attempt).State = AttemptKnown::Running;
-  Record.Followers.push_back(Asked.Attempt);
+  Agent.Attempts.at(Asked.Attempt).State = KnownAttemptState::Running;
+  Record.RepeatAttempts.push_back(Asked.Attempt);
 }
 
 /** Completes an attempt with an answer of the plain service. */
@@ -53,8 +53,8 @@
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
     return;
-  if (!it->second.BegunSent)
-    sendBegun(it->second, {}, Out);
+  if (!it->second.AttemptStartedSent)
+    sendAttemptStarted(it->second, {}, Out);
   sendFrame(it->second, Answer.Body, Out);
   finishAttempt(Agent, Which, Answer.Status, Out);
 }
@@ -75,7 +75,7 @@
 
 /** Applies the decision on a keyed call, other than to run it. */
 void applyKeyDecision(AgentState &Agent, const AttemptStart &Asked,
-                      const KeyVerdict &Verdict, Effects &Out) {
+                      const KeyDecision &Verdict, Effects &Out) {
   const auto End = [&](ErrorKind Kind, Ran Executed) {
     failAttempt(Agent, Asked.Attempt,
                 {Kind, Verdict.Detail, Verdict.RetryAfter}, Executed, Out);
@@ -104,9 +104,9 @@
                          std::optional<ErrorKind> Refusal, TimePoint Now,
                          Effects &Out) {
   const AttemptStart &Asked = One.StartMessage;
-  KeyVerdict Verdict{KeyChoice::Warming, Millis{0}, "no configuration yet"};
+  KeyDecision Verdict{KeyChoice::Warming, Millis{0}, "no configuration yet"};
   if (Agent.View.InForce)
-    Verdict = judgeKey(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
+    Verdict = decideKeyedCall(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
                        keyedRequestOf(Asked), Now);
   if (Verdict.Choice == KeyChoice::Run && !Refusal)
     return false;
@@ -119,7 +119,7 @@
 }
 
 void recordKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now) {
-  openKey(Agent.Keys, *Agent.View.InForce, keyedRequestOf(Asked), Asked.Attempt,
+  addKeyRecord(Agent.Keys, *Agent.View.InForce, keyedRequestOf(Asked), Asked.Attempt,
           Now);
 }
 
@@ -138,7 +138,7 @@
   const KeyName Key = keyNameOf(Asked);
   const std::vector<AttemptId> Repeats =
       Executed == Ran::No ? refuseKey(Agent.Keys, Key, Agent.Fleet.LastTick)
-                          : closeKey(Agent.Keys, Key, std::nullopt);
+                          : completeKey(Agent.Keys, Key, std::nullopt);
   for (const AttemptId &One : Repeats)
     failAttempt(Agent, One, Why, Executed, Out);
 }
@@ -147,7 +147,7 @@
                        const ServiceAnswer &Answer, Effects &Out) {
   if (findOwnRecord(Agent, Asked) == nullptr)
     return;
-  for (const AttemptId &One : closeKey(Agent.Keys, keyNameOf(Asked), Answer))
+  for (const AttemptId &One : completeKey(Agent.Keys, keyNameOf(Asked), Answer))
     sendAnswer(Agent, One, Answer, Out);
 }
 
--- a/packages/core/src/attempts/keyed_call.cpp
+++ b/packages/core/src/attempts/keyed_call.cpp
@@ -26,7 +26,7 @@
 
 /** Class, workspace and key of a call. */
 KeyName keyNameOf(const Call &ActiveCall) {
-  return {ActiveCall.Received.Class, ActiveCall.Received.Tenant,
+  return {ActiveCall.Received.Class, ActiveCall.Received.Workspace,
           ActiveCall.Received.Key};
 }
 
--- a/packages/core/src/attempts/place.cpp
+++ b/packages/core/src/attempts/place.cpp
@@ -35,7 +35,7 @@
 /** At most one slot in this many is reserved, for small back ends. */
 constexpr uint32_t ReservedDivisor = 4;
 /** Longest remaining prompt reading at which a late request delays no other. */
-constexpr Millis MaxSpareReading{5};
+constexpr Millis MaxPrefillForSpare{5};
 /** Share of a cold back end's rate limit that is used. Requests bunch up in the
  * network, and entries without a link to this agent send more. */
 constexpr double ColdRateShare = 0.7;
@@ -45,13 +45,13 @@
 
 /** Answers a request for a slot and logs the values that decided the answer.
  * @param Refusal Null when the slot is granted. */
-void sendSlotAnswer(const AgentState &Agent, LinkId Link, const PlaceAsk &Asked,
+void sendSlotAnswer(const AgentState &Agent, LinkId Link, const SlotRequest &Asked,
                     const Failure *Refusal, Duration Waited, TimePoint Now,
                     Effects &Out) {
-  PlaceAnswer m;
+  SlotAnswer m;
   m.SlotId = Asked.SlotId;
-  m.ReadingMillis =
-      static_cast<uint32_t>(toMillis(readingLeft(Agent.Prefill, Now)).count());
+  m.PrefillBacklogMillis =
+      static_cast<uint32_t>(toMillis(prefillTimeLeft(Agent.Prefill, Now)).count());
   m.Granted = Refusal == nullptr;
   if (Refusal != nullptr) {
     m.Why = Refusal->Kind;
@@ -61,15 +61,15 @@
   Out.push_back(LogNote{
       LogPart::Admission, LogLevel::Info,
       "event=place id=" + Asked.Request.Value + " place=" + Asked.SlotId.Value +
-          " outcome=" + (m.Granted ? "given" : answerFor(m.Why).Name) +
+          " outcome=" + (m.Granted ? "given" : errorAnswerFor(m.Why).Name) +
           " busy=" + std::to_string(Agent.Gate.Running + Agent.Gate.Lingering) +
           " limit=" + std::to_string(Agent.Gate.Limit) +
           " waiting=" + std::to_string(Agent.Gate.Waiting.Size) +
-          " reading_ms=" + std::to_string(m.ReadingMillis) +
-          " most_reading_ms=" + std::to_string(Asked.MaxReadingMillis) +
+          " reading_ms=" + std::to_string(m.PrefillBacklogMillis) +
+          " most_reading_ms=" + std::to_string(Asked.MaxPrefillBacklogMillis) +
           " spare_only=" + (Asked.SpareOnly ? "yes" : "no") +
           " waited_ms=" + std::to_string(toMillis(Waited).count()) +
-          " rate=" + rateText(Agent.Rate) + " cold_ms=" +
+          " rate=" + formatRateLimit(Agent.Rate) + " cold_ms=" +
           std::to_string(
               std::max(toMillis(Agent.ColdUntil - Now), Millis(0)).count()) +
           " weights=" + Agent.Weights.Loaded.Value + " replaced_ms=" +
@@ -80,7 +80,7 @@
 }
 
 /** Refuses a request for a slot that was not queued. */
-void refuseRequest(const AgentState &Agent, LinkId Link, const PlaceAsk &m,
+void refuseRequest(const AgentState &Agent, LinkId Link, const SlotRequest &m,
                    ErrorKind Kind, Millis RetryAfter, TimePoint Now,
                    Effects &Out) {
   const Failure Why{Kind, "", RetryAfter};
@@ -90,7 +90,7 @@
 /** Says whether newer weights were published too long ago for a request to
  * begin on the loaded ones. */
 bool hasOutdatedWeights(const AgentState &Agent, TimePoint Now) {
-  return isTooOldToServe(Agent.Weights, formerWeightsTime(Agent.Config), Now);
+  return isTooOldToServe(Agent.Weights, replacedWeightsTime(Agent.Config), Now);
 }
 
 /** Gives the reason why no slot can be granted now, if any. */
@@ -119,18 +119,18 @@
  * of its answer on time. A later grant makes it late, and those behind it too,
  * while fresh requests could still be on time.
  */
-Duration maxUsefulWait(const AgentState &Agent, const PlaceAsk &m) {
+Duration maxUsefulWait(const AgentState &Agent, const SlotRequest &m) {
   const Duration Longest = toDuration(m.WaitMillis);
   if (m.FirstPartMillis == 0)
     return Longest;
-  const Duration Takes = firstPartAfter(
-      Agent.FirstPart, readingTime(Agent.Prefill, m.PromptTokens));
+  const Duration Takes = expectedFirstPartTime(
+      Agent.FirstPart, prefillTime(Agent.Prefill, m.PromptTokens));
   return std::clamp(toDuration(m.FirstPartMillis) - Takes, Duration{0},
                     Longest);
 }
 
 /** Records a slot that is queued or about to be granted. */
-void addSlot(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+void addSlot(AgentState &Agent, LinkId Link, const SlotRequest &m,
              Duration MayWait, TimePoint Now) {
   Slot One;
   One.Link = Link;
@@ -142,7 +142,7 @@
 
 /** Removes a slot from the queue in which it waits. */
 void dequeueSlot(AgentState &Agent, const AttemptId &Which) {
-  stopWaiting(Agent.Gate, Which);
+  removeWaiting(Agent.Gate, Which);
   std::erase(Agent.SpareQueue, Which);
 }
 
@@ -150,21 +150,21 @@
 bool hasSpareCapacity(AgentState &Agent, TimePoint Now) {
   const uint32_t Kept =
       std::min(ReservedSlots, Agent.Gate.Limit / ReservedDivisor);
-  return runsAtOnce(Agent.Gate, Kept) && isWithinRateLimits(Agent, Now) &&
-         readingLeft(Agent.Prefill, Now) <= MaxSpareReading;
+  return canRunNow(Agent.Gate, Kept) && isWithinRateLimits(Agent, Now) &&
+         prefillTimeLeft(Agent.Prefill, Now) <= MaxPrefillForSpare;
 }
 
 /** Grants or queues a late request for spare capacity; refuses it if capacity
  * is unlikely to become free while it waits. */
-void handleSpareRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+void handleSpareRequest(AgentState &Agent, LinkId Link, const SlotRequest &m,
                         TimePoint Now, Effects &Out) {
   grantSpareSlots(Agent, Now, Out);
   // In a lasting overload there is no spare capacity at all. A queued request
   // would only be refused later.
-  const bool IsLasting = Now - Agent.LastSpareRoomAt > toDuration(m.WaitMillis);
+  const bool IsLasting = Now - Agent.LastSpareCapacityAt > toDuration(m.WaitMillis);
   if (IsLasting || Agent.SpareQueue.size() >= MaxSpareWaiting) {
     refuseRequest(Agent, Link, m, ErrorKind::Overloaded,
-                  timeToComeBack(Agent.Gate), Now, Out);
+                  estimateRetryAfter(Agent.Gate), Now, Out);
     return;
   }
   addSlot(Agent, Link, m, toDuration(m.WaitMillis), Now);
@@ -174,17 +174,17 @@
 
 /** Says whether the back end is too busy for a request that asks for an idle
  * one. */
-bool isTooBusy(const AgentState &Agent, const PlaceAsk &m, TimePoint Now) {
-  return m.MaxReadingMillis > 0 &&
-         (!runsAtOnce(Agent.Gate) ||
-          readingLeft(Agent.Prefill, Now) > Millis(m.MaxReadingMillis));
+bool isTooBusy(const AgentState &Agent, const SlotRequest &m, TimePoint Now) {
+  return m.MaxPrefillBacklogMillis > 0 &&
+         (!canRunNow(Agent.Gate) ||
+          prefillTimeLeft(Agent.Prefill, Now) > Millis(m.MaxPrefillBacklogMillis));
 }
 
 /** Describes a slot to admission control: workspace, priority, time left. */
-Admittee admissionRequestOf(const AgentState &Agent, const PlaceAsk &m,
+AdmissionRequest admissionRequestOf(const AgentState &Agent, const SlotRequest &m,
                             Duration MayWait) {
-  Admittee One;
-  One.Who = {m.SlotId, m.Tenant, 1,
+  AdmissionRequest One;
+  One.Who = {m.SlotId, m.Workspace, 1,
              RankZeroPriority - std::min(m.Rank, RankZeroPriority)};
   // MayWait ends with the begin of the run; admission counts until its end.
   One.Remaining = MayWait + Agent.Gate.ServiceTime;
@@ -193,7 +193,7 @@
 
 } // namespace
 
-void handleSlotRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+void handleSlotRequest(AgentState &Agent, LinkId Link, const SlotRequest &m,
                        TimePoint Now, Effects &Out) {
   if (Agent.SlotsById.contains(m.SlotId))
     return; // A repeat; the first answer counts.
@@ -203,8 +203,8 @@
   }
   if (!isWithinRateLimits(Agent, Now)) {
     // Not queued: other back ends of the service may have capacity.
-    const Duration Wait = std::max(timeToRequest(Agent.Rate, Now),
-                                   timeToRequest(Agent.ColdStartRate, Now));
+    const Duration Wait = std::max(timeUntilRequest(Agent.Rate, Now),
+                                   timeUntilRequest(Agent.ColdStartRate, Now));
     ++Agent.Counters.Refused[ErrorKind::RateLimited];
     refuseRequest(Agent, Link, m, ErrorKind::RateLimited,
                   std::max(toMillis(Wait), Millis(1)), Now, Out);
@@ -216,35 +216,35 @@
   }
   if (isTooBusy(Agent, m, Now)) {
     refuseRequest(Agent, Link, m, ErrorKind::Overloaded,
-                  timeToComeBack(Agent.Gate), Now, Out);
+                  estimateRetryAfter(Agent.Gate), Now, Out);
     return;
   }
   const Duration MayWait = maxUsefulWait(Agent, m);
-  const AdmissionAnswer Admitted =
-      askToRun(Agent.Gate, admissionRequestOf(Agent, m, MayWait),
+  const AdmissionResult AdmissionDecision =
+      requestAdmission(Agent.Gate, admissionRequestOf(Agent, m, MayWait),
                maySendPrompt(Agent.Prefill, Now));
-  if (Admitted.PushedOut)
-    refuseSlot(Agent, *Admitted.PushedOut,
-               {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
-  if (Admitted.Decision == Admitted::Refuse) {
-    refuseRequest(Agent, Link, m, ErrorKind::Overloaded, Admitted.RetryAfter,
+  if (AdmissionDecision.EvictedAttempt)
+    refuseSlot(Agent, *AdmissionDecision.EvictedAttempt,
+               {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)}, Out);
+  if (AdmissionDecision.Decision == AdmissionDecision::Refuse) {
+    refuseRequest(Agent, Link, m, ErrorKind::Overloaded, AdmissionDecision.RetryAfter,
                   Now, Out);
     return;
   }
   addSlot(Agent, Link, m, MayWait, Now);
-  if (Admitted.Decision == Admitted::Run)
+  if (AdmissionDecision.Decision == AdmissionDecision::Run)
     grantSlot(Agent, m.SlotId, Now, Out);
 }
 
 void grantSpareSlots(AgentState &Agent, TimePoint Now, Effects &Out) {
   if (hasSpareCapacity(Agent, Now))
-    Agent.LastSpareRoomAt = Now;
+    Agent.LastSpareCapacityAt = Now;
   while (!Agent.SpareQueue.empty() && hasSpareCapacity(Agent, Now)) {
     const AttemptId Which = Agent.SpareQueue.front();
     Agent.SpareQueue.pop_front();
-    Admittee One;
+    AdmissionRequest One;
     One.Who.Attempt = Which;
-    askToRun(Agent.Gate, One); // Always admitted: there is spare capacity.
+    requestAdmission(Agent.Gate, One); // Always admitted: there is spare capacity.
     grantSlot(Agent, Which, Now, Out);
   }
 }
@@ -253,13 +253,13 @@
                        Effects &Out) {
   const Slot &One = Agent.SlotsById.at(Which);
   // WaitUntil already allows for its own prompt, but not for those before it.
-  if (Now + readingLeft(Agent.Prefill, Now) <= One.WaitUntil) {
+  if (Now + prefillTimeLeft(Agent.Prefill, Now) <= One.WaitUntil) {
     grantSlot(Agent, Which, Now, Out);
     return;
   }
-  runEnded(Agent.Gate, Which, RunEnd::NotStarted, {});
+  recordRunEnd(Agent.Gate, Which, RunEnd::NotStarted, {});
   refuseSlot(Agent, Which,
-             {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
+             {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)}, Out);
 }
 
 void grantSlot(AgentState &Agent, const AttemptId &Which, TimePoint Now,
@@ -268,8 +268,8 @@
   One.Granted = true;
   One.GrantedAt = Now;
   countBackEndRequest(Agent, Now);
-  addReading(Agent.Prefill, One.RequestMessage.PromptTokens, Now);
-  One.ReadingAtGrant = readingLeft(Agent.Prefill, Now);
+  addPrompt(Agent.Prefill, One.RequestMessage.PromptTokens, Now);
+  One.PrefillAtGrant = prefillTimeLeft(Agent.Prefill, Now);
   ++Agent.Counters.Started;
   sendSlotAnswer(Agent, One.Link, One.RequestMessage, nullptr,
                  Now - One.RequestedAt, Now, Out);
@@ -288,7 +288,7 @@
   Agent.SlotsById.erase(it);
 }
 
-void handleSlotRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
+void handleSlotRelease(AgentState &Agent, const SlotRelease &m, TimePoint Now,
                        Effects &Out) {
   const auto it = Agent.SlotsById.find(m.SlotId);
   if (it == Agent.SlotsById.end())
@@ -300,15 +300,15 @@
     return;
   }
   if (m.FirstPartMillis > 0)
-    firstPartSeen(Agent.FirstPart, toDuration(m.FirstPartMillis),
-                  One.ReadingAtGrant);
+    recordFirstPart(Agent.FirstPart, toDuration(m.FirstPartMillis),
+                  One.PrefillAtGrant);
   if (!m.Sent) {
-    uncountRequest(Agent.Rate);
+    refundRequest(Agent.Rate);
     if (Now < Agent.ColdUntil)
-      uncountRequest(Agent.ColdStartRate);
+      refundRequest(Agent.ColdStartRate);
   }
   const RunEnd Incomplete = m.Sent ? RunEnd::Abandoned : RunEnd::NotStarted;
-  runEnded(Agent.Gate, m.SlotId, m.IsComplete ? RunEnd::Complete : Incomplete,
+  recordRunEnd(Agent.Gate, m.SlotId, m.IsComplete ? RunEnd::Complete : Incomplete,
            Now - One.GrantedAt);
   Agent.Counters.Completed += m.IsComplete ? 1 : 0;
   startWaitingWork(Agent, Now, Out);
@@ -316,9 +316,9 @@
 }
 
 bool isWithinRateLimits(AgentState &Agent, TimePoint Now) {
-  return rateAllowsRequest(Agent.Rate, 1, Now) &&
+  return maySendRequest(Agent.Rate, 1, Now) &&
          (Now >= Agent.ColdUntil ||
-          rateAllowsRequest(Agent.ColdStartRate, ColdRateShare, Now));
+          maySendRequest(Agent.ColdStartRate, ColdRateShare, Now));
 }
 
 void countBackEndRequest(AgentState &Agent, TimePoint Now) {
@@ -327,17 +327,17 @@
     countRequest(Agent.ColdStartRate);
 }
 
-void handleRateNotice(AgentState &Agent, const RateHeard &m, TimePoint Now,
+void handleRateNotice(AgentState &Agent, const RateLimitNotice &m, TimePoint Now,
                       Effects &Out) {
   if (m.PerSecond) {
-    const TimePoint HeardAt = Now - toDuration(m.AgeMillis);
-    logRateChange(Agent, rateNamed(Agent.Rate, *m.PerSecond, HeardAt), "entry",
+    const TimePoint AnswerArrivedAt = Now - toDuration(m.AgeMillis);
+    logRateChange(Agent, recordRateLimit(Agent.Rate, *m.PerSecond, AnswerArrivedAt), "entry",
                   Out);
     return;
   }
   const auto it = Agent.SlotsById.find(m.SlotId);
   if (it != Agent.SlotsById.end() && it->second.Granted)
-    logRateChange(Agent, rateNotNamed(Agent.Rate, it->second.GrantedAt),
+    logRateChange(Agent, recordNoRateLimit(Agent.Rate, it->second.GrantedAt),
                   "entry", Out);
 }
 
@@ -346,7 +346,7 @@
   if (Change != RateChange::None)
     Out.push_back(LogNote{LogPart::Admission, LogLevel::Info,
                           "event=rate_limit from=" + std::string(From) +
-                              " per_second=" + rateText(Agent.Rate)});
+                              " per_second=" + formatRateLimit(Agent.Rate)});
 }
 
 void detachSlots(AgentState &Agent, LinkId Link, TimePoint Now, Effects &) {
@@ -382,7 +382,7 @@
   for (const AttemptId &Which : Late) {
     dequeueSlot(Agent, Which);
     refuseSlot(Agent, Which,
-               {ErrorKind::Overloaded, "", timeToComeBack(Agent.Gate)}, Out);
+               {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)}, Out);
   }
 }
 
--- a/packages/core/src/attempts/place_func.h
+++ b/packages/core/src/attempts/place_func.h
@@ -26,7 +26,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handleSlotRequest(AgentState &Agent, LinkId Link, const PlaceAsk &m,
+void handleSlotRequest(AgentState &Agent, LinkId Link, const SlotRequest &m,
                        TimePoint Now, Effects &Out);
 
 /**
@@ -37,7 +37,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handleSlotRelease(AgentState &Agent, const PlaceDone &m, TimePoint Now,
+void handleSlotRelease(AgentState &Agent, const SlotRelease &m, TimePoint Now,
                        Effects &Out);
 
 /**
@@ -64,7 +64,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handleRateNotice(AgentState &Agent, const RateHeard &m, TimePoint Now,
+void handleRateNotice(AgentState &Agent, const RateLimitNotice &m, TimePoint Now,
                       Effects &Out);
 
 /**
--- a/packages/core/src/base/effect_type.h
+++ b/packages/core/src/base/effect_type.h
@@ -60,7 +60,7 @@
   Failure Why;                 ///< Error kind, detail and retry delay.
   Ran Executed = Ran::Unknown; ///< Whether the request was executed.
   std::string Token; ///< New home token for the next attempt; may be empty.
-  std::vector<Address> Elsewhere; ///< Entries to use instead; may be empty.
+  std::vector<Address> AlternativeEntries; ///< Entries to use instead; may be empty.
 };
 
 /** Sends an attempt to the model engine. */
@@ -89,7 +89,7 @@
 };
 
 /** Finds out which of the given chunks are staged at the engine. */
-struct ReadStaged {
+struct FindStagedChunks {
   std::vector<ChunkRef> Chunks; ///< Chunks to look for.
 };
 
@@ -103,7 +103,7 @@
 };
 
 /** Reads a staged chunk back, verifies it and sends a part of it to a peer. */
-struct SendStaged {
+struct SendStagedChunk {
   LinkId Link;         ///< Link to the peer.
   ChunkRef Chunk;      ///< The chunk.
   uint64_t Offset = 0; ///< Offset of the part, in bytes.
@@ -127,8 +127,8 @@
 /** Any effect. */
 using Effect = std::variant<OpenLink, CloseLink, SendMessage, CallPart, CallEnd,
                             CallError, RunModel, RunService, CancelRun,
-                            FetchFromOrigin, ReadChunkList, ReadStaged,
-                            StageChunk, SendStaged, LoadWeights, LogNote>;
+                            FetchFromOrigin, ReadChunkList, FindStagedChunks,
+                            StageChunk, SendStagedChunk, LoadWeights, LogNote>;
 
 /** Effects in the order of execution. */
 using Effects = std::vector<Effect>;
--- a/packages/core/src/base/error.cpp
+++ b/packages/core/src/base/error.cpp
@@ -6,7 +6,7 @@
 
 namespace jacinthpond {
 
-const ErrorAnswer &answerFor(ErrorKind Kind) {
+const ErrorAnswer &errorAnswerFor(ErrorKind Kind) {
   return ErrorTable.at(static_cast<size_t>(Kind));
 }
 
@@ -25,7 +25,7 @@
 Millis retryAfter(const Failure &Why) {
   if (Why.RetryAfter.count() > 0)
     return Why.RetryAfter;
-  return Millis{answerFor(Why.Kind).RetryAfterMillis};
+  return Millis{errorAnswerFor(Why.Kind).RetryAfterMillis};
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/base/error_func.h
+++ b/packages/core/src/base/error_func.h
@@ -21,7 +21,7 @@
  * @param Kind Any kind except Count.
  * @return The row of the error table.
  */
-const ErrorAnswer &answerFor(ErrorKind Kind);
+const ErrorAnswer &errorAnswerFor(ErrorKind Kind);
 
 /**
  * Converts a Ran value to the text used in answers.
--- a/packages/core/src/base/ids_type.h
+++ b/packages/core/src/base/ids_type.h
@@ -26,7 +26,7 @@
 using HostName = TextId<struct HostNameTag>;       ///< Entry or worker.
 using DomainName = TextId<struct DomainNameTag>;   ///< Failure domain.
 using ClassName = TextId<struct ClassNameTag>;     ///< Class of requests.
-using TenantName = TextId<struct TenantNameTag>;   ///< Customer's workspace.
+using WorkspaceName = TextId<struct WorkspaceNameTag>;   ///< Customer's workspace.
 using ModelName = TextId<struct ModelNameTag>;     ///< Model, without version.
 using ServiceName = TextId<struct ServiceNameTag>; ///< Plain service.
 using RegionName = TextId<struct RegionNameTag>;   ///< Nearby domains.
--- a/packages/core/src/base/json_reader.cpp
+++ b/packages/core/src/base/json_reader.cpp
@@ -82,12 +82,12 @@
 
 } // namespace
 
-void FaultList::add(const std::string &Path, const std::string &Found,
+void ValidationErrors::add(const std::string &Path, const std::string &Found,
                     const std::string &Allowed) {
   Lines.push_back(Path + ": found " + Found + ", allowed: " + Allowed);
 }
 
-std::string FaultList::joinErrors() const {
+std::string ValidationErrors::joinErrors() const {
   std::string All;
   for (const std::string &Line : Lines)
     All += (All.empty() ? "" : "\n") + Line;
@@ -130,7 +130,7 @@
 }
 
 ObjectReader::ObjectReader(const Json &Value, std::string ObjectPath,
-                           FaultList &Into)
+                           ValidationErrors &Into)
     : Object(Value.is_object() ? &Value : nullptr), Path(std::move(ObjectPath)),
       Errors(&Into) {
   if (Object == nullptr)
--- a/packages/core/src/base/json_reader.h
+++ b/packages/core/src/base/json_reader.h
@@ -22,7 +22,7 @@
 namespace jacinthpond {
 
 /** Collects all validation errors of one text. */
-struct FaultList {
+struct ValidationErrors {
   std::vector<std::string> Lines; ///< One error each.
 
   /**
@@ -75,7 +75,7 @@
    * @param Into Receives the errors.
    */
   ObjectReader(const nlohmann::json &Value, std::string ObjectPath,
-               FaultList &Into);
+               ValidationErrors &Into);
 
   /**
    * Reads a text.
@@ -166,7 +166,7 @@
    * Returns the error list, for readers of nested objects.
    * @return The error list.
    */
-  FaultList &errorList() { return *Errors; }
+  ValidationErrors &errorList() { return *Errors; }
 
   /** Adds an error for each member that has not been read, with the most
    * similar known name. */
@@ -196,7 +196,7 @@
 
   const nlohmann::json *Object;   ///< Null if the value is not an object.
   std::string Path;               ///< Path of the object.
-  FaultList *Errors;              ///< Receives the errors.
+  ValidationErrors *Errors;              ///< Receives the errors.
   std::vector<std::string> Known; ///< Names of the members read so far.
 };
 
--- a/packages/core/src/base/rate_limit.cpp
+++ b/packages/core/src/base/rate_limit.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-bool rateAllows(RateLimit &Limit, TimePoint Now) {
+bool isWithinRate(RateLimit &Limit, TimePoint Now) {
   if (Limit.PerSecond <= 0)
     return true;
   updateLiveRate(Limit, Now);
@@ -41,12 +41,12 @@
   return Limit.Tokens >= 0;
 }
 
-void rateSpend(RateLimit &Limit, double Units) {
+void takeRateTokens(RateLimit &Limit, double Units) {
   if (Limit.PerSecond > 0)
     Limit.Tokens -= Units;
 }
 
-Duration rateWait(const RateLimit &Limit, TimePoint Now) {
+Duration rateWaitTime(const RateLimit &Limit, TimePoint Now) {
   if (Limit.PerSecond <= 0 || Limit.Tokens >= 0)
     return Duration{0};
   const std::chrono::duration<double> Debt(-Limit.Tokens / Limit.PerSecond);
@@ -55,7 +55,7 @@
   return std::max(Due - Now, Duration{0});
 }
 
-void rateYield(RateLimit &Limit, uint64_t Bytes, TimePoint Now) {
+void countLiveTraffic(RateLimit &Limit, uint64_t Bytes, TimePoint Now) {
   updateLiveRate(Limit, Now);
   Limit.LiveBytes += Bytes;
 }
--- a/packages/core/src/base/rate_limit_func.h
+++ b/packages/core/src/base/rate_limit_func.h
@@ -14,14 +14,14 @@
  * @param Now Current time.
  * @return True if there is no debt, or no limit.
  */
-bool rateAllows(RateLimit &Limit, TimePoint Now);
+bool isWithinRate(RateLimit &Limit, TimePoint Now);
 
 /**
  * Takes tokens for units that were sent.
  * @param Limit State, updated.
  * @param Units Number of units; negative: refund of units that were not sent.
  */
-void rateSpend(RateLimit &Limit, double Units);
+void takeRateTokens(RateLimit &Limit, double Units);
 
 /**
  * Returns the time until the debt is paid off, live traffic not considered.
@@ -29,7 +29,7 @@
  * @param Now Current time.
  * @return Time until the next send is allowed; 0: now.
  */
-Duration rateWait(const RateLimit &Limit, TimePoint Now);
+Duration rateWaitTime(const RateLimit &Limit, TimePoint Now);
 
 /**
  * Counts live traffic on the same link. It has priority: its rate is subtracted
@@ -38,7 +38,7 @@
  * @param Bytes Live traffic sent, in bytes.
  * @param Now Current time.
  */
-void rateYield(RateLimit &Limit, uint64_t Bytes, TimePoint Now);
+void countLiveTraffic(RateLimit &Limit, uint64_t Bytes, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/configuration/config_spread.cpp
+++ b/packages/core/src/configuration/config_spread.cpp
@@ -73,7 +73,7 @@
   if (const PeerLink *Near = newestPeer(View, Fleet, true))
     return Near;
   const bool Waited = Now - *Fleet.Pull.BehindSince >= OwnDomainPullWait;
-  return Waited || !viewIsFresh(Fleet) ? Any : nullptr;
+  return Waited || !isViewFresh(Fleet) ? Any : nullptr;
 }
 
 /** Logs an error when a peer has a different document of the same version. */
@@ -95,7 +95,7 @@
 void answerPull(const ConfigView &View, const Membership &Fleet, LinkId Link,
                 const ConfigPull &Pull, Effects &Out) {
   ConfigPush Push;
-  Push.Fresh = viewIsFresh(Fleet);
+  Push.Fresh = isViewFresh(Fleet);
   if (!Pull.Probe && versionInForce(View) > Pull.HeldVersion)
     Push.Text = View.InForce->Text;
   Out.push_back(SendMessage{Link, Push});
@@ -110,27 +110,27 @@
 }
 
 /** Handles a peer's answer to a pull or probe. */
-FleetNews handlePush(ConfigView &View, Membership &Fleet, LinkId Link,
+FleetMessageResult handlePush(ConfigView &View, Membership &Fleet, LinkId Link,
                      const ConfigPush &Push, TimePoint Now, Effects &Out) {
   PeerLink &Peer = Fleet.Links.at(Link);
   Peer.Answered = true;
   Peer.AnsweredFresh = Peer.AnsweredFresh || Push.Fresh;
   if (Push.Text.empty())
-    return FleetNews::Handled;
+    return FleetMessageResult::Handled;
   if (Fleet.Pull.Link == Link)
     Fleet.Pull.Link.reset();
-  const OfferResult Verdict = takeDocument(View, Fleet, Push.Text, Now, Out);
+  const OfferResult Verdict = applyDocument(View, Fleet, Push.Text, Now, Out);
   // Validation is the same everywhere, so only a peer with another program
   // version sends an invalid document. It must not be pulled repeatedly.
   if (Verdict == OfferResult::Invalid)
     Peer.PushRefused = true;
-  return Verdict == OfferResult::Accepted ? FleetNews::NewDocument
-                                          : FleetNews::Handled;
+  return Verdict == OfferResult::Accepted ? FleetMessageResult::NewDocument
+                                          : FleetMessageResult::Handled;
 }
 
 } // namespace
 
-OfferResult takeDocument(ConfigView &View, Membership &Fleet,
+OfferResult applyDocument(ConfigView &View, Membership &Fleet,
                          std::string_view Text, TimePoint Now, Effects &Out) {
   const OfferResult Verdict = offerDocument(View, Text, Now);
   if (Verdict == OfferResult::Invalid)
@@ -156,7 +156,7 @@
           " servers=" + std::to_string(View.InForce->Servers.size()) +
           " routes=" + std::to_string(View.InForce->Routes.size()) +
           " domains_out=" + std::to_string(View.InForce->DomainsOut.size()) +
-          " view=" + (viewIsFresh(Fleet) ? "fresh" : "joining") +
+          " view=" + (isViewFresh(Fleet) ? "fresh" : "joining") +
           " at_most_ms=" +
           (View.PublishedAfter
                ? std::to_string(toMillis(Now - *View.PublishedAfter).count())
@@ -189,7 +189,7 @@
   Out.push_back(SendMessage{Peer->Link, ConfigPull{versionInForce(View)}});
 }
 
-FleetNews fleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
+FleetMessageResult handleFleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
                        const Message &m, TimePoint Now, Effects &Out) {
   return std::visit(
       Overloaded{[&](const Hello &Peer) {
@@ -200,37 +200,37 @@
                    reportVersionConflict(View, Fleet, Peer.Version,
                                          Peer.ConfigDigest, Out);
                    pullWhenBehind(View, Fleet, Now, Out);
-                   return NewEntry ? FleetNews::NewEntry : FleetNews::Handled;
+                   return NewEntry ? FleetMessageResult::NewEntry : FleetMessageResult::Handled;
                  },
-                 [&](const EntrySeen &Seen) {
-                   return handleEntrySeen(Fleet, Seen, Now, Out)
-                              ? FleetNews::NewEntry
-                              : FleetNews::Handled;
+                 [&](const EntryNotice &Seen) {
+                   return handleEntryNotice(Fleet, Seen, Now, Out)
+                              ? FleetMessageResult::NewEntry
+                              : FleetMessageResult::Handled;
                  },
                  [&](const Heartbeat &Beat) {
-                   heartbeatHeard(Fleet, Link, Beat, Now);
+                   handleHeartbeat(Fleet, Link, Beat, Now);
                    relayDeparture(Fleet, Link, Now, Out);
                    reportVersionConflict(View, Fleet, Beat.Version,
                                          Beat.ConfigDigest, Out);
                    pullWhenBehind(View, Fleet, Now, Out);
-                   return FleetNews::Handled;
+                   return FleetMessageResult::Handled;
                  },
                  [&](const LeavingNotice &Notice) {
                    recordDeparture(Fleet, Notice, Now, Out);
-                   return FleetNews::Handled;
+                   return FleetMessageResult::Handled;
                  },
                  [&](const ConfigPull &Pull) {
                    answerPull(View, Fleet, Link, Pull, Out);
-                   return FleetNews::Handled;
+                   return FleetMessageResult::Handled;
                  },
                  [&](const ConfigPush &Push) {
                    return handlePush(View, Fleet, Link, Push, Now, Out);
                  },
-                 [](const auto &) { return FleetNews::NotMine; }},
+                 [](const auto &) { return FleetMessageResult::Unrelated; }},
       m);
 }
 
-std::vector<LinkId> fleetTick(const ConfigView &View, Membership &Fleet,
+std::vector<LinkId> tickFleet(const ConfigView &View, Membership &Fleet,
                               TimePoint Now, Effects &Out) {
   detectStall(Fleet, Now);
   const std::vector<LinkId> Silent = tickMembership(Fleet, View, Now, Out);
--- a/packages/core/src/configuration/config_spread_func.h
+++ b/packages/core/src/configuration/config_spread_func.h
@@ -17,8 +17,8 @@
 namespace jacinthpond {
 
 /** Result of handling a message between processes. */
-enum class FleetNews : uint8_t {
-  NotMine,     ///< The message concerns neither membership nor configuration.
+enum class FleetMessageResult : uint8_t {
+  Unrelated,     ///< The message concerns neither membership nor configuration.
   Handled,     ///< Nothing more to do.
   NewDocument, ///< A new document came into force.
   NewEntry     ///< An entry became known, or has moved.
@@ -34,7 +34,7 @@
  * @param Out Effects are appended.
  * @return Whether it came into force; else why not.
  */
-OfferResult takeDocument(ConfigView &View, Membership &Fleet,
+OfferResult applyDocument(ConfigView &View, Membership &Fleet,
                          std::string_view Text, TimePoint Now, Effects &Out);
 
 /**
@@ -58,7 +58,7 @@
  * @param Out Effects are appended.
  * @return What the caller has to react to.
  */
-FleetNews fleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
+FleetMessageResult handleFleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
                        const Message &m, TimePoint Now, Effects &Out);
 
 /**
@@ -69,7 +69,7 @@
  * @param Out Effects are appended.
  * @return Links that were closed as silent.
  */
-std::vector<LinkId> fleetTick(const ConfigView &View, Membership &Fleet,
+std::vector<LinkId> tickFleet(const ConfigView &View, Membership &Fleet,
                               TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
--- a/packages/core/src/configuration/document.cpp
+++ b/packages/core/src/configuration/document.cpp
@@ -28,7 +28,7 @@
 constexpr size_t MaxDocumentBytes = 8 << 20;
 /** Longest lists; well above the fleet size that the system is designed for. */
 constexpr size_t MaxClasses = 256;
-constexpr size_t MaxTenants = 10000;
+constexpr size_t MaxWorkspaces = 10000;
 constexpr size_t MaxModels = 256;
 constexpr size_t MaxWorkers = 8000;
 constexpr size_t MaxEntries = 2000;
@@ -50,7 +50,7 @@
 /** Reads a list of objects, each with ReadOne, and reports unknown keys. */
 template <typename T, typename Function>
 std::vector<T> readList(ObjectReader &Root, const char *Key, size_t Max,
-                        FaultList &Faults, Function &&ReadOne) {
+                        ValidationErrors &Faults, Function &&ReadOne) {
   std::vector<T> All;
   for (const Json *Element : Root.listElements(Key, Max)) {
     ObjectReader Reader(*Element, elementPath(Key, All.size()), Faults);
@@ -107,8 +107,8 @@
 }
 
 /** Reads a workspace. */
-Tenant readTenant(ObjectReader &Reader) {
-  Tenant Parsed;
+Workspace readWorkspace(ObjectReader &Reader) {
+  Workspace Parsed;
   Parsed.Name.Value = Reader.readText("name", true);
   Parsed.Weight =
       static_cast<uint32_t>(Reader.readInteger("weight", false, 1, 1, MaxWeight));
@@ -129,7 +129,7 @@
   Model.Version = Reader.readText("version", true);
   if (Reader.hasMember("origin")) {
     Model.Origin.Value = Reader.readAddress("origin");
-    Model.Set = publishedSet(Model.Name, Model.Version);
+    Model.Set = publishedWeightsId(Model.Name, Model.Version);
     return Model;
   }
   Model.ChunkBytes = static_cast<uint64_t>(
@@ -217,7 +217,7 @@
   One.Model.Value = Reader.readText("model", false);
   One.MaxConnections = static_cast<uint32_t>(
       Reader.readInteger("max_connections", false, 0, 0, MaxConnectionsAllowed));
-  One.ReadPerSecond = Reader.readNumber("read_tokens_per_second", 0, 0, MaxTokenRate);
+  One.PromptTokensPerSecond = Reader.readNumber("read_tokens_per_second", 0, 0, MaxTokenRate);
   One.ColdPerSecond =
       Reader.readNumber("cold_per_second", 0, 0, MaxConnectionsAllowed);
   return One;
@@ -271,14 +271,14 @@
   One.TokenDigest.Value = Reader.readDigest("token_sha256");
   One.Operator = Reader.readBool("operator", false);
   One.Classes = toIdSet<ClassName>(Reader.readTextList("classes"));
-  One.Tenants = toIdSet<TenantName>(Reader.readTextList("tenants"));
+  One.Workspaces = toIdSet<WorkspaceName>(Reader.readTextList("tenants"));
   return One;
 }
 
 /** Reports each duplicate name in a list. */
 template <typename List, typename Projection>
 void checkUniqueNames(const List &All, const char *Key, Projection Name,
-                      FaultList &Faults) {
+                      ValidationErrors &Faults) {
   std::set<std::string> Seen;
   for (const auto &Element : All)
     if (!Seen.insert(Name(Element)).second)
@@ -286,7 +286,7 @@
 }
 
 /** Reports references to models and domains that the document lacks. */
-void checkReferences(const Document &Doc, FaultList &Faults) {
+void checkReferences(const Document &Doc, ValidationErrors &Faults) {
   for (const WorkClass &Class : Doc.Classes)
     if (Class.Kind == BackEndKind::Model &&
         findModel(Doc, Class.Model) == nullptr)
@@ -310,10 +310,10 @@
 }
 
 /** Reports duplicate names in the lists whose elements have unique names. */
-void checkAllNamesUnique(const Document &Doc, FaultList &Faults) {
+void checkAllNamesUnique(const Document &Doc, ValidationErrors &Faults) {
   const auto Name = [](const auto &Element) { return Element.Name.Value; };
   checkUniqueNames(Doc.Classes, "classes", Name, Faults);
-  checkUniqueNames(Doc.Tenants, "tenants", Name, Faults);
+  checkUniqueNames(Doc.Workspaces, "tenants", Name, Faults);
   checkUniqueNames(Doc.Models, "models", Name, Faults);
   checkUniqueNames(Doc.Workers, "workers", Name, Faults);
   checkUniqueNames(Doc.Entries, "entries", Name, Faults);
@@ -322,15 +322,15 @@
 }
 
 /** Reads and checks the whole document; appends what is wrong to Faults. */
-Document readDocument(const Json &Value, FaultList &Faults) {
+Document readDocument(const Json &Value, ValidationErrors &Faults) {
   Document Doc;
   ObjectReader Root(Value, "", Faults);
   Doc.Version.Value = static_cast<uint64_t>(
       Root.readInteger("version", true, 1, 1, std::numeric_limits<int64_t>::max()));
   Doc.Classes =
       readList<WorkClass>(Root, "classes", MaxClasses, Faults, readClass);
-  Doc.Tenants =
-      readList<Tenant>(Root, "tenants", MaxTenants, Faults, readTenant);
+  Doc.Workspaces =
+      readList<Workspace>(Root, "tenants", MaxWorkspaces, Faults, readWorkspace);
   Doc.Models =
       readList<ModelVersion>(Root, "models", MaxModels, Faults, readModel);
   Doc.Workers =
@@ -360,7 +360,7 @@
 
 } // namespace
 
-Digest publishedSet(const ModelName &Model, const std::string &Version) {
+Digest publishedWeightsId(const ModelName &Model, const std::string &Version) {
   return Digest{Model.Value + "@" + Version};
 }
 
@@ -378,7 +378,7 @@
                     " bytes, allowed: " + std::to_string(MaxDocumentBytes));
   BOOST_LEAF_AUTO(Value,
                   parseJson(Text, "document", ErrorKind::InvalidDocument));
-  FaultList Faults;
+  ValidationErrors Faults;
   Document Doc = readDocument(Value, Faults);
   if (!Faults.Lines.empty())
     return fail(ErrorKind::InvalidDocument, Faults.joinErrors());
--- a/packages/core/src/configuration/document_change.cpp
+++ b/packages/core/src/configuration/document_change.cpp
@@ -71,7 +71,7 @@
 
 } // namespace
 
-DocumentChange changeOf(const Document *InForce, const Document &Candidate) {
+DocumentChange compareDocuments(const Document *InForce, const Document &Candidate) {
   static const Document Empty;
   const Document &Old = InForce == nullptr ? Empty : *InForce;
   DocumentChange Change;
@@ -79,7 +79,7 @@
   Change.Candidate = Candidate.Version;
   Change.WouldApply = Candidate.Version > Old.Version;
   Change.Lists = {compareLists("classes", Old.Classes, Candidate.Classes),
-                  compareLists("tenants", Old.Tenants, Candidate.Tenants),
+                  compareLists("tenants", Old.Workspaces, Candidate.Workspaces),
                   compareLists("models", Old.Models, Candidate.Models),
                   compareLists("workers", Old.Workers, Candidate.Workers),
                   compareLists("entries", Old.Entries, Candidate.Entries),
--- a/packages/core/src/configuration/document_change_func.h
+++ b/packages/core/src/configuration/document_change_func.h
@@ -14,7 +14,7 @@
  * @param Candidate A valid document.
  * @return What publishing the candidate would change.
  */
-DocumentChange changeOf(const Document *InForce, const Document &Candidate);
+DocumentChange compareDocuments(const Document *InForce, const Document &Candidate);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/configuration/document_func.h
+++ b/packages/core/src/configuration/document_func.h
@@ -33,7 +33,7 @@
  * @param Version Its version.
  * @return "MODEL@VERSION", in place of a digest over the chunks.
  */
-Digest publishedSet(const ModelName &Model, const std::string &Version);
+Digest publishedWeightsId(const ModelName &Model, const std::string &Version);
 
 /**
  * Finds a class of work.
--- a/packages/core/src/configuration/document_type.h
+++ b/packages/core/src/configuration/document_type.h
@@ -35,14 +35,14 @@
 };
 
 /** A customer's workspace. */
-struct Tenant {
-  TenantName Name;               ///< Name in the request header.
+struct Workspace {
+  WorkspaceName Name;               ///< Name in the request header.
   uint32_t Weight = 1;           ///< Share relative to other workspaces.
   std::vector<std::string> Keys; ///< API keys of its callers.
   std::optional<uint32_t> Rank;  ///< Overrides a route's; 0 is first.
   std::set<RegionName> Regions;  ///< Where its work may run; empty: anywhere.
 
-  bool operator==(const Tenant &) const = default;
+  bool operator==(const Workspace &) const = default;
 };
 
 /** One version of a model, as chunks. */
@@ -119,7 +119,7 @@
   ServiceName Name;            ///< Unique.
   ModelName Model;             ///< Model it runs; empty for a plain service.
   uint32_t MaxConnections = 0; ///< Connections a back end supports; 0: unknown.
-  double ReadPerSecond = 0;    ///< Prompt tokens per back end; 0: unlimited.
+  double PromptTokensPerSecond = 0;    ///< Prompt tokens per back end; 0: unlimited.
   double ColdPerSecond = 0;    ///< Requests per cold back end; 0: unlimited.
 
   bool operator==(const Service &) const = default;
@@ -155,7 +155,7 @@
   Digest TokenDigest;           ///< SHA-256 of the team's token.
   bool Operator = false;        ///< Sees everything.
   std::set<ClassName> Classes;  ///< Classes that the team sees.
-  std::set<TenantName> Tenants; ///< Workspaces that the team sees.
+  std::set<WorkspaceName> Workspaces; ///< Workspaces that the team sees.
 
   bool operator==(const Team &) const = default;
 };
@@ -166,7 +166,7 @@
   Digest ContentDigest;               ///< Digest of the published text.
   std::string Text;                   ///< The text as published.
   std::vector<WorkClass> Classes;     ///< All classes of work.
-  std::vector<Tenant> Tenants;        ///< All workspaces.
+  std::vector<Workspace> Workspaces;        ///< All workspaces.
   std::vector<ModelVersion> Models;   ///< Wanted version of each model.
   std::vector<Worker> Workers;        ///< All backend server hosts.
   std::vector<EntryHost> Entries;     ///< All entry hosts.
--- a/packages/core/src/configuration/reader_rank.cpp
+++ b/packages/core/src/configuration/reader_rank.cpp
@@ -49,11 +49,11 @@
 }
 
 bool isReader(const ConfigView &View, const Membership &Fleet) {
-  if (!View.InForce || !viewIsFresh(Fleet))
+  if (!View.InForce || !isViewFresh(Fleet))
     return true;
   // When no linked entry is answered, the present readers may be cut off from
   // the service or rejected by it.
-  if (!anybodyAnswered(Fleet, Fleet.LastTick))
+  if (!isServiceAnswering(Fleet, Fleet.LastTick))
     return true;
   size_t HigherRanked = 0;
   const std::vector<EntryHost> All = knownEntries(View.InForce.get(), Fleet);
@@ -70,9 +70,9 @@
   return HigherRanked < ReadersPerDomain;
 }
 
-ReadTurn nextRead(const ConfigView &View, const Membership &Fleet,
+ReadPlan nextRead(const ConfigView &View, const Membership &Fleet,
                   uint64_t Salt) {
-  ReadTurn Turn;
+  ReadPlan Turn;
   Turn.Reader = isReader(View, Fleet);
   Turn.After = versionInForce(View);
   Turn.InForce = digestInForce(View);
@@ -96,7 +96,7 @@
   return Turn;
 }
 
-void readEnded(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
+void recordReadResult(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
                TimePoint Now) {
   Join &Joining = Fleet.Joining;
   // A service that has gone back to an older version or holds an invalid
@@ -109,7 +109,7 @@
   // while the service went down, so it shows no contact.
   if (Began < Joining.Since)
     return;
-  Joining.ServiceHeard = Now;
+  Joining.LastServiceAnswerAt = Now;
   Joining.ServiceAnswered = true;
 }
 
--- a/packages/core/src/configuration/reader_rank_func.h
+++ b/packages/core/src/configuration/reader_rank_func.h
@@ -38,7 +38,7 @@
  * @param Salt Varies the jitter.
  * @return The next read, or the wait until the next decision.
  */
-ReadTurn nextRead(const ConfigView &View, const Membership &Fleet,
+ReadPlan nextRead(const ConfigView &View, const Membership &Fleet,
                   uint64_t Salt);
 
 /**
@@ -49,7 +49,7 @@
  * @param Began When the read began.
  * @param Now Current time.
  */
-void readEnded(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
+void recordReadResult(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
                TimePoint Now);
 
 } // namespace jacinthpond
--- a/packages/core/src/configuration/reader_rank_type.h
+++ b/packages/core/src/configuration/reader_rank_type.h
@@ -9,7 +9,7 @@
 namespace jacinthpond {
 
 /** Next read of the configuration service, or the wait until a decision. */
-struct ReadTurn {
+struct ReadPlan {
   bool Reader = false; ///< False: no read; decide again after Delay.
   Millis Delay{0};     ///< Wait before the read, or until the next decision.
   ConfigVersion After; ///< Version in force; only a newer one is of interest.
--- a/packages/core/src/forwarding/caller_age.cpp
+++ b/packages/core/src/forwarding/caller_age.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Duration callerAge(CallerHabits &Deadlines, const Route &Matched,
+Duration callerAge(InitialDeadlines &Deadlines, const Route &Matched,
                    Duration Left) {
   const Duration Told = Matched.Timeout.count() > 0
                             ? std::min<Duration>(Left, Matched.Timeout)
@@ -42,7 +42,7 @@
   return std::max(Shortest - Told, Duration{0});
 }
 
-Duration awayToBeKnown(const CallerHabits &Deadlines, const Route &Matched) {
+Duration recognizableRetryDelay(const InitialDeadlines &Deadlines, const Route &Matched) {
   const auto it = Deadlines.LongestDeadline.find(Matched.Name);
   if (it == Deadlines.LongestDeadline.end())
     return Duration{0};
@@ -50,7 +50,7 @@
                                               (1 - ShortestDeadlineShare));
 }
 
-void forgetOtherRoutes(CallerHabits &Deadlines, const Document &Doc) {
+void forgetRemovedRoutes(InitialDeadlines &Deadlines, const Document &Doc) {
   std::set<std::string_view> Names;
   for (const Route &One : Doc.Routes)
     Names.insert(One.Name);
@@ -58,7 +58,7 @@
                 [&](const auto &Row) { return !Names.contains(Row.first); });
 }
 
-Millis lateWait(Duration Left) {
+Millis lateRequestWait(Duration Left) {
   return std::clamp(toMillis(Left / LateWaitDivisor), Millis{0}, MaxLateWait);
 }
 
--- a/packages/core/src/forwarding/caller_age_func.h
+++ b/packages/core/src/forwarding/caller_age_func.h
@@ -24,7 +24,7 @@
  * @param Left Remaining time of the caller.
  * @return Lower bound of its age; 0 for a caller that may be new.
  */
-Duration callerAge(CallerHabits &Deadlines, const Route &Matched,
+Duration callerAge(InitialDeadlines &Deadlines, const Route &Matched,
                    Duration Left);
 
 /**
@@ -35,7 +35,7 @@
  * @param Matched Route of the request.
  * @return The delay; 0 where nothing is known.
  */
-Duration awayToBeKnown(const CallerHabits &Deadlines, const Route &Matched);
+Duration recognizableRetryDelay(const InitialDeadlines &Deadlines, const Route &Matched);
 
 /**
  * Removes the state of routes that a document does not have; route names change
@@ -43,7 +43,7 @@
  * @param Deadlines State to change.
  * @param Doc The document in force.
  */
-void forgetOtherRoutes(CallerHabits &Deadlines, const Document &Doc);
+void forgetRemovedRoutes(InitialDeadlines &Deadlines, const Document &Doc);
 
 /**
  * Gives how long a request that has missed its target may wait for a slot that
@@ -51,7 +51,7 @@
  * @param Left Remaining time of the caller.
  * @return The time; a refusal after it still leaves time for a retry.
  */
-Millis lateWait(Duration Left);
+Millis lateRequestWait(Duration Left);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/caller_age_type.h
+++ b/packages/core/src/forwarding/caller_age_type.h
@@ -11,7 +11,7 @@
 namespace jacinthpond {
 
 /** Deadlines with which callers of each route start. */
-struct CallerHabits {
+struct InitialDeadlines {
   std::map<std::string, Duration> LongestDeadline; ///< By name of the route.
 };
 
--- a/packages/core/src/forwarding/caller_wait.cpp
+++ b/packages/core/src/forwarding/caller_wait.cpp
@@ -15,12 +15,12 @@
 
 } // namespace
 
-TimePoint answerNeededBy(const Route &Matched, TimePoint Deadline,
-                         TimePoint LastGiven) {
+TimePoint answerDeadline(const Route &Matched, TimePoint Deadline,
+                         TimePoint LastDeliveryAt) {
   if (Matched.Kind != RouteKind::Stream ||
       Matched.LongestSilence <= TransitTime)
     return Deadline;
-  return std::min(Deadline, LastGiven + Matched.LongestSilence - TransitTime);
+  return std::min(Deadline, LastDeliveryAt + Matched.LongestSilence - TransitTime);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/caller_wait_func.h
+++ b/packages/core/src/forwarding/caller_wait_func.h
@@ -15,12 +15,12 @@
  * gets an error in time may retry.
  * @param Matched Route of the request.
  * @param Deadline The caller's deadline or the route's timeout.
- * @param LastGiven When the request arrived, or the last part was sent to the
+ * @param LastDeliveryAt When the request arrived, or the last part was sent to the
  * caller.
  * @return The time; not after the deadline.
  */
-TimePoint answerNeededBy(const Route &Matched, TimePoint Deadline,
-                         TimePoint LastGiven);
+TimePoint answerDeadline(const Route &Matched, TimePoint Deadline,
+                         TimePoint LastDeliveryAt);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/come_back.cpp
+++ b/packages/core/src/forwarding/come_back.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Millis comeBackAfter(const Failure &Why, Duration Left, uint64_t &Random) {
+Millis spreadRetryAfter(const Failure &Why, Duration Left, uint64_t &Random) {
   const Millis MaxDelay =
       std::max(toMillis(Left / RetryDelayDivisor), Millis{0});
   const auto Percent =
--- a/packages/core/src/forwarding/come_back_func.h
+++ b/packages/core/src/forwarding/come_back_func.h
@@ -17,7 +17,7 @@
  * @param Random State of the random generator.
  * @return The delay; 0: none is told.
  */
-Millis comeBackAfter(const Failure &Why, Duration Left, uint64_t &Random);
+Millis spreadRetryAfter(const Failure &Why, Duration Left, uint64_t &Random);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/event_stream.cpp
+++ b/packages/core/src/forwarding/event_stream.cpp
@@ -41,17 +41,17 @@
 
 } // namespace
 
-EventVerdict putEvents(EventStream &Stream, std::string_view Bytes,
+EventStreamStatus appendCompleteEvents(EventStream &Stream, std::string_view Bytes,
                        std::string &Out) {
   Stream.Partial += Bytes;
   size_t Done = 0;
   const std::string_view All = Stream.Partial;
-  EventVerdict Status = EventVerdict::Good;
+  EventStreamStatus Status = EventStreamStatus::Good;
   while (const size_t n = firstEventBytes(All.substr(Done))) {
     const std::string_view Event = All.substr(Done, n);
     if (const auto Id = parseEventId(Event)) {
       if (Stream.LastId && *Id != *Stream.LastId + 1) {
-        Status = EventVerdict::OutOfOrder;
+        Status = EventStreamStatus::OutOfOrder;
         break;
       }
       Stream.LastId = Id;
@@ -60,8 +60,8 @@
     Done += n;
   }
   Stream.Partial.erase(0, Done);
-  if (Status == EventVerdict::Good && Stream.Partial.size() > MaxEventBytes)
-    return EventVerdict::TooLarge;
+  if (Status == EventStreamStatus::Good && Stream.Partial.size() > MaxEventBytes)
+    return EventStreamStatus::TooLarge;
   return Status;
 }
 
--- a/packages/core/src/forwarding/event_stream_func.h
+++ b/packages/core/src/forwarding/event_stream_func.h
@@ -24,7 +24,7 @@
  * @param Out Complete events are appended.
  * @return Good, or why the stream cannot continue.
  */
-EventVerdict putEvents(EventStream &Stream, std::string_view Bytes,
+EventStreamStatus appendCompleteEvents(EventStream &Stream, std::string_view Bytes,
                        std::string &Out);
 
 /**
--- a/packages/core/src/forwarding/event_stream_type.h
+++ b/packages/core/src/forwarding/event_stream_type.h
@@ -20,7 +20,7 @@
 };
 
 /** Result of adding bytes to a stream. */
-enum class EventVerdict : uint8_t {
+enum class EventStreamStatus : uint8_t {
   Good,       ///< The stream is valid so far.
   OutOfOrder, ///< An event id does not follow the one before.
   TooLarge    ///< An event exceeds MaxEventBytes.
--- a/packages/core/src/forwarding/fleet_snapshot.cpp
+++ b/packages/core/src/forwarding/fleet_snapshot.cpp
@@ -32,8 +32,8 @@
 }
 
 /** Makes a report from the load that an agent last sent on its link. */
-AgentNews makeReport(const PeerLink &Link) {
-  AgentNews Report;
+AgentReport makeReport(const PeerLink &Link) {
+  AgentReport Report;
   Report.Server.Value = Link.Peer.Name.Value;
   Report.State = Link.Load.State;
   Report.Busy = Link.Load.Running + Link.Load.Waiting;
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TimePoint joinedBy(TimePoint Since, Millis JoinWait) {
+TimePoint expectedReadyTime(TimePoint Since, Millis JoinWait) {
   return Since + JoinWait + JoinMargin;
 }
 
@@ -54,13 +54,13 @@
   FleetSnapshot Snapshot;
   const Membership &Fleet = Entry.Fleet;
   Snapshot.Ready = Entry.View.InForce != nullptr &&
-                   (viewIsFresh(Fleet) ||
+                   (isViewFresh(Fleet) ||
                     (Entry.Config.ServeCutOff && Fleet.Joining.WasFresh));
-  Snapshot.ReadyBy = joinedBy(Fleet.Joining.Since, Fleet.Times.JoinWait);
+  Snapshot.ReadyBy = expectedReadyTime(Fleet.Joining.Since, Fleet.Times.JoinWait);
   // An entry that was paused has heard from no peer yet. If that counted as an
   // outage of the list, servers that left the list during the pause would still
   // be used for some time.
-  Snapshot.ListingAway = viewIsFresh(Fleet) && !anybodyAnswered(Fleet, Now);
+  Snapshot.ListingUnavailable = isViewFresh(Fleet) && !isServiceAnswering(Fleet, Now);
   const std::set<HostName> Linked = linkedEntries(Fleet);
   const bool SelfAccepts = Snapshot.Ready && !Entry.Stopping;
   const std::vector<EntryHost> Known =
@@ -78,12 +78,12 @@
   return Snapshot;
 }
 
-std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Passed) {
-  std::vector<AgentNews> Reports;
+std::vector<AgentReport> collectAgentReports(const EntryState &Entry, PassedAgentReports &Passed) {
+  std::vector<AgentReport> Reports;
   std::map<HostName, TimePoint> Heard;
   for (const auto &[Id, Link] : Entry.Fleet.Links) {
     if (Link.State != LinkState::Ready || Link.Peer.Sender != Role::Agent ||
-        Link.HeardHeartbeat == 0)
+        Link.ReceivedHeartbeat == 0)
       continue;
     Heard[Link.Peer.Name] = Link.LoadAt;
     const auto it = Passed.LoadAt.find(Link.Peer.Name);
--- a/packages/core/src/forwarding/fleet_snapshot_func.h
+++ b/packages/core/src/forwarding/fleet_snapshot_func.h
@@ -15,7 +15,7 @@
  * @param JoinWait Its longest wait for peers.
  * @return The time.
  */
-TimePoint joinedBy(TimePoint Since, Millis JoinWait);
+TimePoint expectedReadyTime(TimePoint Since, Millis JoinWait);
 
 /**
  * Takes a snapshot of the fleet from an entry's state.
@@ -32,7 +32,7 @@
  * @param Passed Reports that were already passed on; updated.
  * @return The new reports.
  */
-std::vector<AgentNews> newsOfAgents(const EntryState &Entry, ToldNews &Passed);
+std::vector<AgentReport> collectAgentReports(const EntryState &Entry, PassedAgentReports &Passed);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/fleet_snapshot_type.h
+++ b/packages/core/src/forwarding/fleet_snapshot_type.h
@@ -16,7 +16,7 @@
 struct FleetSnapshot {
   bool Ready = false;           ///< This entry may forward requests.
   TimePoint ReadyBy;            ///< When it is expected to be ready.
-  bool ListingAway = false;     ///< No process can read the list of servers.
+  bool ListingUnavailable = false;     ///< No process can read the list of servers.
   std::vector<EntryHost> Alive; ///< Entries that accept callers, with this one.
   uint32_t Sharers = 1; ///< Entries that share the back ends, with this one.
   std::vector<HostName> SharerNames; ///< Their names; empty: unknown.
@@ -25,7 +25,7 @@
 };
 
 /** Agent reports that were already passed to the traffic thread. */
-struct ToldNews {
+struct PassedAgentReports {
   std::map<HostName, TimePoint> LoadAt; ///< Arrival of the last one, by agent.
 };
 
--- a/packages/core/src/forwarding/liveness.cpp
+++ b/packages/core/src/forwarding/liveness.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool hostAsked(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+bool recordHostProbe(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr || !View->Agent || View->Agent->Link == LinkId{} ||
       View->ProbePendingSince)
@@ -27,18 +27,18 @@
   return true;
 }
 
-void hostHeard(ServerPool &Pool, LinkId Link) {
+void recordAgentActivity(ServerPool &Pool, LinkId Link) {
   for (auto &[Id, View] : Pool.Servers)
     if (View.Agent && View.Agent->Link == Link)
       View.ProbePendingSince.reset();
 }
 
-void forgetQuestion(ServerPool &Pool, const InstanceId &Id) {
+void discardProbe(ServerPool &Pool, const InstanceId &Id) {
   if (ServerView *View = findServer(Pool, Id))
     View->ProbePendingSince.reset();
 }
 
-std::optional<TimePoint> standsStillFrom(const ServerPool &Pool,
+std::optional<TimePoint> unresponsiveFrom(const ServerPool &Pool,
                                          const InstanceId &Id) {
   const ServerView *View = findServer(Pool, Id);
   if (View == nullptr || !View->ProbePendingSince)
@@ -46,7 +46,7 @@
   return *View->ProbePendingSince + ProbeTimeout;
 }
 
-bool standsStill(const ServerView &View, TimePoint Now) {
+bool isHostUnresponsive(const ServerView &View, TimePoint Now) {
   if (!View.ProbePendingSince)
     return false;
   const Duration Pending = Now - *View.ProbePendingSince;
