--- a/packages/core/src/forwarding/liveness_func.h
+++ b/packages/core/src/forwarding/liveness_func.h
@@ -21,14 +21,14 @@
  * @return False when none may be sent: an earlier one is unanswered, or there
  * is no agent.
  */
-bool hostAsked(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+bool recordHostProbe(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
  * Records that any message came from an agent; it answers a pending probe.
  * @param Pool State to change.
  * @param Link Link to the agent.
  */
-void hostHeard(ServerPool &Pool, LinkId Link);
+void recordAgentActivity(ServerPool &Pool, LinkId Link);
 
 /**
  * Discards a pending probe whose answer may still be unread because this
@@ -36,7 +36,7 @@
  * @param Pool State to change.
  * @param Id Instance of the back end.
  */
-void forgetQuestion(ServerPool &Pool, const InstanceId &Id);
+void discardProbe(ServerPool &Pool, const InstanceId &Id);
 
 /**
  * Gives the time from which the host of a back end counts as unresponsive.
@@ -44,7 +44,7 @@
  * @param Id Instance of the back end.
  * @return The time; nothing while no probe is pending.
  */
-std::optional<TimePoint> standsStillFrom(const ServerPool &Pool,
+std::optional<TimePoint> unresponsiveFrom(const ServerPool &Pool,
                                          const InstanceId &Id);
 
 /**
@@ -54,7 +54,7 @@
  * @return True when a probe timed out; false again some time later, when single
  * requests may check whether the back end has recovered.
  */
-bool standsStill(const ServerView &View, TimePoint Now);
+bool isHostUnresponsive(const ServerView &View, TimePoint Now);
 
 /**
  * Updates the liveness of a back end's host when the link to its agent ends.
--- a/packages/core/src/forwarding/place_search.cpp
+++ b/packages/core/src/forwarding/place_search.cpp
@@ -23,36 +23,36 @@
 
 } // namespace
 
-bool mayAskMore(const PlaceSearch &Search) {
+bool mayRequestMoreSlots(const SlotSearch &Search) {
   return Search.SlotRequests < MaxSlotRequests;
 }
 
-Millis mostReading(const PlaceSearch &Search) {
+Millis maxPrefillBacklog(const SlotSearch &Search) {
   return Search.SlotRequests < MaxBacklogByRequest.size()
              ? MaxBacklogByRequest[Search.SlotRequests]
              : Millis{0};
 }
 
-void placeAsked(PlaceSearch &Search) {
-  Search.IdleOnly = mostReading(Search).count() > 0;
+void recordSlotRequest(SlotSearch &Search) {
+  Search.IdleOnly = maxPrefillBacklog(Search).count() > 0;
   ++Search.SlotRequests;
 }
 
-void placeRefused(PlaceSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
+void recordSlotRefusal(SlotSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
                   bool OnlyBusy) {
   Needs.Full.insert(Id);
   if (Search.IdleOnly && OnlyBusy)
     Search.Busy.insert(Id);
-  if (mostReading(Search).count() == 0)
-    takeBusyOnes(Search, Needs);
+  if (maxPrefillBacklog(Search).count() == 0)
+    reconsiderBusyServers(Search, Needs);
 }
 
-bool takeBusyOnes(PlaceSearch &Search, ServerNeeds &Needs) {
+bool reconsiderBusyServers(SlotSearch &Search, ServerNeeds &Needs) {
   const bool Any = !Search.Busy.empty();
   for (const InstanceId &Id : Search.Busy)
     Needs.Full.erase(Id);
   Search.Busy.clear();
-  while (mostReading(Search).count() > 0)
+  while (maxPrefillBacklog(Search).count() > 0)
     ++Search.SlotRequests;
   return Any;
 }
--- a/packages/core/src/forwarding/place_search_func.h
+++ b/packages/core/src/forwarding/place_search_func.h
@@ -23,7 +23,7 @@
  * @param Search The state.
  * @return False once the limit of slot requests is reached.
  */
-bool mayAskMore(const PlaceSearch &Search);
+bool mayRequestMoreSlots(const SlotSearch &Search);
 
 /**
  * Gives the longest prefill backlog that the next back end may have.
@@ -31,13 +31,13 @@
  * @return The time that the backlog takes; 0: any, and the request may wait
  * there.
  */
-Millis mostReading(const PlaceSearch &Search);
+Millis maxPrefillBacklog(const SlotSearch &Search);
 
 /**
  * Counts a slot request that is sent to an agent.
  * @param Search State to change.
  */
-void placeAsked(PlaceSearch &Search);
+void recordSlotRequest(SlotSearch &Search);
 
 /**
  * Records that the last agent that was asked refused a slot.
@@ -46,7 +46,7 @@
  * @param Id Instance of the back end.
  * @param OnlyBusy Whether it may still accept the request once it is less busy.
  */
-void placeRefused(PlaceSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
+void recordSlotRefusal(SlotSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
                   bool OnlyBusy);
 
 /**
@@ -56,7 +56,7 @@
  * @param Needs State to change.
  * @return Whether there are any.
  */
-bool takeBusyOnes(PlaceSearch &Search, ServerNeeds &Needs);
+bool reconsiderBusyServers(SlotSearch &Search, ServerNeeds &Needs);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/place_search_type.h
+++ b/packages/core/src/forwarding/place_search_type.h
@@ -12,7 +12,7 @@
 namespace jacinthpond {
 
 /** Slot requests sent to agents for one request of a caller. */
-struct PlaceSearch {
+struct SlotSearch {
   uint32_t SlotRequests = 0; ///< Slot requests sent.
   bool IdleOnly = false;     ///< The last one limited the prefill backlog.
   std::set<InstanceId>
--- a/packages/core/src/forwarding/rate_share.cpp
+++ b/packages/core/src/forwarding/rate_share.cpp
@@ -79,7 +79,7 @@
   if (!View.Rate.PerSecond)
     return true;
   const double Share = shareOfRate(View.Rate, Pool, View, Spec);
-  return Share > 0 ? rateAllowsRequest(View.Rate, Share, Now)
+  return Share > 0 ? maySendRequest(View.Rate, Share, Now)
                    : mayProbe(Pool, View, Now);
 }
 
@@ -89,7 +89,7 @@
   if (Spec.ColdPerSecond <= 0 || Now >= View.ColdUntil)
     return true;
   View.ColdLimit.PerSecond = Spec.ColdPerSecond;
-  return rateAllowsRequest(View.ColdLimit,
+  return maySendRequest(View.ColdLimit,
                            shareOfRate(View.ColdLimit, Pool, View, Spec), Now);
 }
 
@@ -115,7 +115,7 @@
   return toMillis(Retry - Now);
 }
 
-void sentPastAgent(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void countRequestWithoutSlot(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
@@ -126,37 +126,37 @@
     View->Rate.LimitSeenAt = Now;
 }
 
-RateChange rateHeard(ServerPool &Pool, const InstanceId &Id,
+RateChange recordAnswerRate(ServerPool &Pool, const InstanceId &Id,
                      std::optional<double> PerSecond, TimePoint SentAt,
                      TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return RateChange::None;
-  return PerSecond ? rateNamed(View->Rate, *PerSecond, Now)
-                   : rateNotNamed(View->Rate, SentAt);
+  return PerSecond ? recordRateLimit(View->Rate, *PerSecond, Now)
+                   : recordNoRateLimit(View->Rate, SentAt);
 }
 
-RateChange recordPeerRate(ServerPool &Pool, const RateHeard &Notice, TimePoint Now) {
+RateChange recordPeerRate(ServerPool &Pool, const RateLimitNotice &Notice, TimePoint Now) {
   ServerView *View = findServer(Pool, Notice.Server);
   if (View == nullptr)
     return RateChange::None;
   const Millis Age(static_cast<int64_t>(
       std::min<uint64_t>(Notice.AgeMillis, MaxNoticeAge.count())));
-  return Notice.PerSecond ? rateNamed(View->Rate, *Notice.PerSecond, Now - Age)
-                          : rateNotNamed(View->Rate, Now - Age);
+  return Notice.PerSecond ? recordRateLimit(View->Rate, *Notice.PerSecond, Now - Age)
+                          : recordNoRateLimit(View->Rate, Now - Age);
 }
 
-void rateRefused(ServerPool &Pool, const InstanceId &Id, Duration Wait,
+void recordRateRefusal(ServerPool &Pool, const InstanceId &Id, Duration Wait,
                  TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
     View->NoSlotUntil = Now + std::max(Wait, Duration(MinNoSlotTime));
 }
 
-std::optional<RateHeard> rateToTell(const ServerView &View, TimePoint Now) {
+std::optional<RateLimitNotice> rateNoticeForAgent(const ServerView &View, TimePoint Now) {
   if (!View.Rate.PerSecond || !hasAgent(View) || View.Agent->PerSecond)
     return std::nullopt;
   const Millis Age = toMillis(Now - View.Rate.LimitSeenAt);
-  return RateHeard{{},
+  return RateLimitNotice{{},
                    View.Listed.Id,
                    View.Rate.PerSecond,
                    static_cast<uint64_t>(std::max<int64_t>(0, Age.count()))};
--- a/packages/core/src/forwarding/rate_share_func.h
+++ b/packages/core/src/forwarding/rate_share_func.h
@@ -42,7 +42,7 @@
  * @param Id Instance of the back end.
  * @param Now Current time.
  */
-void sentPastAgent(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void countRequestWithoutSlot(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
  * Records the rate limit that an answer of a back end stated.
@@ -53,7 +53,7 @@
  * @param Now Current time.
  * @return How the known limit changed.
  */
-RateChange rateHeard(ServerPool &Pool, const InstanceId &Id,
+RateChange recordAnswerRate(ServerPool &Pool, const InstanceId &Id,
                      std::optional<double> PerSecond, TimePoint SentAt,
                      TimePoint Now);
 
@@ -64,7 +64,7 @@
  * @param Now Current time.
  * @return How the known limit changed; a change must be passed on.
  */
-RateChange recordPeerRate(ServerPool &Pool, const RateHeard &Notice, TimePoint Now);
+RateChange recordPeerRate(ServerPool &Pool, const RateLimitNotice &Notice, TimePoint Now);
 
 /**
  * Records that an agent refused a slot because of its back end's rate limit.
@@ -73,7 +73,7 @@
  * @param Wait Time until it may grant one.
  * @param Now Current time.
  */
-void rateRefused(ServerPool &Pool, const InstanceId &Id, Duration Wait,
+void recordRateRefusal(ServerPool &Pool, const InstanceId &Id, Duration Wait,
                  TimePoint Now);
 
 /**
@@ -83,7 +83,7 @@
  * @param Now Current time.
  * @return The notice; nothing when the agent knows, or when there is no limit.
  */
-std::optional<RateHeard> rateToTell(const ServerView &View, TimePoint Now);
+std::optional<RateLimitNotice> rateNoticeForAgent(const ServerView &View, TimePoint Now);
 
 /**
  * Says whether a rate limit of a back end is known.
--- a/packages/core/src/forwarding/repeat_budget.cpp
+++ b/packages/core/src/forwarding/repeat_budget.cpp
@@ -51,15 +51,15 @@
 
 } // namespace
 
-void countFirst(RepeatBudget &Budget, const ServiceName &Service,
+void countFirstAttempt(RepeatBudget &Budget, const ServiceName &Service,
                 TimePoint Now) {
   RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
   ++Counts.First.at(newestIndex(Counts));
 }
 
-bool mayRepeat(RepeatBudget &Budget, const ServiceName &Service,
+bool takeRepeat(RepeatBudget &Budget, const ServiceName &Service,
                uint32_t Entries, TimePoint Now) {
-  if (!repeatsLeft(Budget, Service, Entries, Now)) {
+  if (!hasRepeatsLeft(Budget, Service, Entries, Now)) {
     ++Budget.Denied;
     return false;
   }
@@ -68,7 +68,7 @@
   return true;
 }
 
-bool repeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
+bool hasRepeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
                  uint32_t Entries, TimePoint Now) {
   const RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
   const double Shared = static_cast<double>(Budget.Limits.Slack) /
--- a/packages/core/src/forwarding/repeat_budget_func.h
+++ b/packages/core/src/forwarding/repeat_budget_func.h
@@ -20,7 +20,7 @@
  * @param Service The service.
  * @param Now Current time.
  */
-void countFirst(RepeatBudget &Budget, const ServiceName &Service,
+void countFirstAttempt(RepeatBudget &Budget, const ServiceName &Service,
                 TimePoint Now);
 
 /**
@@ -31,7 +31,7 @@
  * @param Now Current time.
  * @return Whether the retry may be sent.
  */
-bool mayRepeat(RepeatBudget &Budget, const ServiceName &Service,
+bool takeRepeat(RepeatBudget &Budget, const ServiceName &Service,
                uint32_t Entries, TimePoint Now);
 
 /**
@@ -40,9 +40,9 @@
  * @param Service The service.
  * @param Entries Number of entries that share the limit; at least 1.
  * @param Now Current time.
- * @return Whether mayRepeat() would return true.
+ * @return Whether takeRepeat() would return true.
  */
-bool repeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
+bool hasRepeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
                  uint32_t Entries, TimePoint Now);
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/route_match.cpp
+++ b/packages/core/src/forwarding/route_match.cpp
@@ -45,10 +45,10 @@
     std::ranges::stable_sort(Routes, std::greater<>{}, [](const Route *One) {
       return One->Prefix.size();
     });
-  for (const Tenant &One : Doc.Tenants)
+  for (const Workspace &One : Doc.Workspaces)
     for (const std::string &Key : One.Keys)
       Index.ByKey[Key] = &One;
-  Index.KeysWanted = !Doc.Tenants.empty();
+  Index.KeysRequired = !Doc.Workspaces.empty();
   return Index;
 }
 
@@ -64,7 +64,7 @@
   return Found == it->second.end() ? nullptr : *Found;
 }
 
-const Tenant *matchTenant(const RouteIndex &Index,
+const Workspace *matchWorkspace(const RouteIndex &Index,
                           std::string_view Authorization) {
   const std::string_view Value = trimmed(Authorization);
   const std::string Scheme = toLowerCase(Value.substr(0, BearerScheme.size()));
--- a/packages/core/src/forwarding/route_match_func.h
+++ b/packages/core/src/forwarding/route_match_func.h
@@ -33,7 +33,7 @@
  * @param Authorization Header value, "Bearer KEY".
  * @return The workspace that has the key, or null.
  */
-const Tenant *matchTenant(const RouteIndex &Index,
+const Workspace *matchWorkspace(const RouteIndex &Index,
                           std::string_view Authorization);
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/route_match_type.h
+++ b/packages/core/src/forwarding/route_match_type.h
@@ -16,8 +16,8 @@
 struct RouteIndex {
   /** Routes by host in lower case, longest prefix first. */
   std::unordered_map<std::string, std::vector<const Route *>> ByHost;
-  std::unordered_map<std::string, const Tenant *> ByKey; ///< By API key.
-  bool KeysWanted = false; ///< Requests need a key: there are workspaces.
+  std::unordered_map<std::string, const Workspace *> ByKey; ///< By API key.
+  bool KeysRequired = false; ///< Requests need a key: there are workspaces.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/server_listing.cpp
+++ b/packages/core/src/forwarding/server_listing.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /** Former sets that are kept for each model. */
-constexpr size_t MaxFormerSets = 8;
+constexpr size_t MaxReplacedSets = 8;
 
 /** Updates the back ends from the list of the document, and removes unlisted
  * ones. */
@@ -57,14 +57,14 @@
     // document, its requests would start on the older set too late, by the
     // length of the pause.
     if (PublishedAfter && !Wanted.Set.Value.empty())
-      Wanted.Formers.push_back(
+      Wanted.ReplacedSets.push_back(
           {Wanted.Set, Wanted.Version,
-           *PublishedAfter + Pool.Options.FormerWeightsFor});
-    std::erase_if(Wanted.Formers, [&](const FormerWeights &One) {
+           *PublishedAfter + Pool.Options.ReplacedWeightsTime});
+    std::erase_if(Wanted.ReplacedSets, [&](const ReplacedWeights &One) {
       return One.Set == Model.Set;
     });
-    if (Wanted.Formers.size() > MaxFormerSets)
-      Wanted.Formers.erase(Wanted.Formers.begin());
+    if (Wanted.ReplacedSets.size() > MaxReplacedSets)
+      Wanted.ReplacedSets.erase(Wanted.ReplacedSets.begin());
     Wanted.Set = Model.Set;
     Wanted.Version = Model.Version;
     Wanted.PublishedAfter = PublishedAfter;
@@ -73,14 +73,14 @@
 
 } // namespace
 
-void poolFollows(ServerPool &Pool, const DocumentPtr &Doc,
+void applyPoolDocument(ServerPool &Pool, const DocumentPtr &Doc,
                  std::optional<TimePoint> PublishedAfter, TimePoint Now) {
   Pool.Doc = Doc;
   updateServers(Pool, Now);
   updateWantedWeights(Pool, PublishedAfter);
 }
 
-void listingAway(ServerPool &Pool, bool Unavailable, TimePoint Now) {
+void setListingUnavailable(ServerPool &Pool, bool Unavailable, TimePoint Now) {
   if (Unavailable)
     Pool.KeepUnlistedUntil = TimePoint::max();
   else if (Pool.KeepUnlistedUntil == TimePoint::max())
--- a/packages/core/src/forwarding/server_pool.cpp
+++ b/packages/core/src/forwarding/server_pool.cpp
@@ -69,7 +69,7 @@
 constexpr Millis MaxStartDelay{800};
 /** Time for which a back end with unexpected weights, or with another instance
  * at its address, is avoided; a newer report arrives before it ends. */
-constexpr Millis MisjudgedAvoidTime{500};
+constexpr Millis MismatchAvoidTime{500};
 
 /** Idle connections to one back end that an entry keeps at most. */
 constexpr size_t MaxIdleConnections = 24;
@@ -93,7 +93,7 @@
 
 /** Records the total number of requests that a back end reported. */
 void recordReportedRequests(ServerView &View, uint32_t Busy, TimePoint Now) {
-  View.OtherWork = Busy > View.Open ? Busy - View.Open : 0;
+  View.OtherRequests = Busy > View.Open ? Busy - View.Open : 0;
   View.LoadReportedAt = Now;
 }
 
@@ -110,10 +110,10 @@
   // answers, so an old report must lose its weight, or a back end that was busy
   // once would never be used again.
   if (hasAgent(View))
-    return View.Open + View.OtherWork;
+    return View.Open + View.OtherRequests;
   const double Age = static_cast<double>(toMillis(Now - View.LoadReportedAt).count()) /
                      static_cast<double>(LoadHalfLife.count());
-  return View.Open + View.OtherWork * std::exp2(-std::max(0.0, Age));
+  return View.Open + View.OtherRequests * std::exp2(-std::max(0.0, Age));
 }
 
 /** Gives the mean time of an answer of a service. */
@@ -163,10 +163,10 @@
 }
 
 /** Finds a set among the replaced ones; null when it is none of them. */
-const FormerWeights *findFormerWeights(const WantedWeights &Wanted,
+const ReplacedWeights *findReplacedWeights(const WantedWeights &Wanted,
                                        const Digest &Set) {
-  const auto it = std::ranges::find(Wanted.Formers, Set, &FormerWeights::Set);
-  return it == Wanted.Formers.end() ? nullptr : &*it;
+  const auto it = std::ranges::find(Wanted.ReplacedSets, Set, &ReplacedWeights::Set);
+  return it == Wanted.ReplacedSets.end() ? nullptr : &*it;
 }
 
 /** Says whether a request may start, or resume, on the weights of a back end.
@@ -187,8 +187,8 @@
   // would start on former weights whenever the host resumes.
   if (hasLostAgent(View))
     return false;
-  const FormerWeights *Former = findFormerWeights(it->second, View.Weights);
-  return Former != nullptr && Now < Former->Until;
+  const ReplacedWeights *ReplacedSet = findReplacedWeights(it->second, View.Weights);
+  return ReplacedSet != nullptr && Now < ReplacedSet->Until;
 }
 
 /** Says whether a back end may get a request, regardless of its load. */
@@ -254,7 +254,7 @@
 
 } // namespace
 
-void agentTold(ServerPool &Pool, const AgentNews &Report, TimePoint Now) {
+void applyAgentReport(ServerPool &Pool, const AgentReport &Report, TimePoint Now) {
   for (auto &[Id, View] : Pool.Servers) {
     if (View.Listed.At != Report.Server || View.UnlistedSince)
       continue;
@@ -274,9 +274,9 @@
     recordReportedRequests(View, Report.Busy, Now);
     View.Weights = Report.Weights;
     if (Report.PerSecond)
-      rateNamed(View.Rate, *Report.PerSecond, Now);
+      recordRateLimit(View.Rate, *Report.PerSecond, Now);
     if (Lifted) {
-      rateNotNamed(View.Rate, Now);
+      recordNoRateLimit(View.Rate, Now);
       View.NoSlotUntil = Now;
     }
   }
@@ -293,7 +293,7 @@
   ServerChoice Choice;
   double Best = 0;
   for (auto &[Id, View] : Pool.Servers) {
-    if (standsStill(View, Now) != Unresponsive ||
+    if (isHostUnresponsive(View, Now) != Unresponsive ||
         !isUsable(Pool, View, Needs, Spec, Now) || Now < View.AvoidUntil)
       continue;
     ++Choice.Candidates;
@@ -346,18 +346,18 @@
   return Choice;
 }
 
-void attemptOpened(ServerPool &Pool, const InstanceId &Id) {
+void recordAttemptStart(ServerPool &Pool, const InstanceId &Id) {
   if (ServerView *View = findServer(Pool, Id))
     ++View->Open;
 }
 
-void loadTold(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
+void recordServerLoad(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
               TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
     recordReportedRequests(*View, Busy, Now);
 }
 
-void serverHeard(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void recordServerActivity(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
@@ -365,25 +365,25 @@
   View->ProbePendingSince.reset();
 }
 
-TimePoint lastHeard(const ServerPool &Pool, const InstanceId &Id) {
+TimePoint lastActivityTime(const ServerPool &Pool, const InstanceId &Id) {
   const ServerView *View = findServer(Pool, Id);
   return View == nullptr ? TimePoint{} : View->LastByteAt;
 }
 
-void firstPartCame(ServerPool &Pool, const ServiceName &Service,
+void recordFirstPartTime(ServerPool &Pool, const ServiceName &Service,
                    Duration Took) {
-  firstPartSeen(Pool.FirstPartTimes[Service], Took, Duration{0});
+  recordFirstPart(Pool.FirstPartTimes[Service], Took, Duration{0});
 }
 
-Duration usualFirstPart(const ServerPool &Pool, const ServiceName &Service,
+Duration usualFirstPartTime(const ServerPool &Pool, const ServiceName &Service,
                         Duration Default) {
   const auto it = Pool.FirstPartTimes.find(Service);
   return it == Pool.FirstPartTimes.end()
              ? Default
-             : firstPartAfter(it->second, Duration{0});
+             : expectedFirstPartTime(it->second, Duration{0});
 }
 
-void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Backlog) {
+void recordPrefillBacklog(ServerPool &Pool, const InstanceId &Id, Duration Backlog) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
@@ -391,12 +391,12 @@
   View->MissedReplies = 0;
 }
 
-Digest weightsAt(const ServerPool &Pool, const InstanceId &Id) {
+Digest loadedWeights(const ServerPool &Pool, const InstanceId &Id) {
   const ServerView *View = findServer(Pool, Id);
   return View == nullptr ? Digest{} : View->Weights;
 }
 
-void attemptClosed(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
+void recordAttemptEnd(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
                    Duration Took, TimePoint Now) {
   ServerView *Found = findServer(Pool, Id);
   if (Found == nullptr)
@@ -429,7 +429,7 @@
   case AttemptEnd::Refused:
     // It is full, whatever its last report said; its next answer reports its
     // load.
-    View.OtherWork = std::max(View.OtherWork, View.Listed.Slots);
+    View.OtherRequests = std::max(View.OtherRequests, View.Listed.Slots);
     View.LoadReportedAt = Now;
     return;
   case AttemptEnd::Dropped:
@@ -438,7 +438,7 @@
   }
 }
 
-void agentSilent(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void markAgentSilent(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr || !hasAgent(*View))
     return;
@@ -462,52 +462,52 @@
          isUsable(Pool, *View, Needs, *Spec, Now);
 }
 
-const WantedWeights *wantedAt(const ServerPool &Pool, const ServerView &View) {
+const WantedWeights *wantedWeightsFor(const ServerPool &Pool, const ServerView &View) {
   const Service *Spec = findService(Pool, View.Listed.Service);
   const auto it =
       Spec == nullptr ? Pool.Wanted.end() : Pool.Wanted.find(Spec->Model);
   return it == Pool.Wanted.end() ? nullptr : &it->second;
 }
 
-std::string versionToDemand(const ServerPool &Pool, const InstanceId &Id,
+std::string requiredVersion(const ServerPool &Pool, const InstanceId &Id,
                             TimePoint Now) {
   const ServerView *View = findServer(Pool, Id);
   const WantedWeights *Wanted =
-      View == nullptr ? nullptr : wantedAt(Pool, *View);
+      View == nullptr ? nullptr : wantedWeightsFor(Pool, *View);
   if (Wanted == nullptr)
     return "";
-  const std::vector<FormerWeights> &Formers = Wanted->Formers;
+  const std::vector<ReplacedWeights> &ReplacedSets = Wanted->ReplacedSets;
   const bool AnyExpired = std::ranges::any_of(
-      Formers, [&](const FormerWeights &One) { return Now >= One.Until; });
-  if (!AnyExpired && !Formers.empty())
+      ReplacedSets, [&](const ReplacedWeights &One) { return Now >= One.Until; });
+  if (!AnyExpired && !ReplacedSets.empty())
     return "";
-  const FormerWeights *Former = findFormerWeights(*Wanted, View->Weights);
-  return Former == nullptr ? Wanted->Version : Former->Version;
+  const ReplacedWeights *ReplacedSet = findReplacedWeights(*Wanted, View->Weights);
+  return ReplacedSet == nullptr ? Wanted->Version : ReplacedSet->Version;
 }
 
-std::optional<TimePoint> mayBeginUntil(const ServerPool &Pool,
+std::optional<TimePoint> latestStartTime(const ServerPool &Pool,
                                        const InstanceId &Id,
                                        const Digest &SentOn) {
   const ServerView *View = findServer(Pool, Id);
   const WantedWeights *Wanted =
-      View == nullptr ? nullptr : wantedAt(Pool, *View);
+      View == nullptr ? nullptr : wantedWeightsFor(Pool, *View);
   if (Wanted == nullptr)
     return std::nullopt;
   // The agent reports no weights while its back end is paused. After it
   // resumes, the back end has those that it had when the request was sent.
   const Digest &Has = View->Weights.Value.empty() ? SentOn : View->Weights;
-  const FormerWeights *Former = findFormerWeights(*Wanted, Has);
-  if (Former == nullptr) // These are the wanted weights, or unknown ones.
+  const ReplacedWeights *ReplacedSet = findReplacedWeights(*Wanted, Has);
+  if (ReplacedSet == nullptr) // These are the wanted weights, or unknown ones.
     return std::nullopt;
-  return Former->Until + MaxStartDelay;
+  return ReplacedSet->Until + MaxStartDelay;
 }
 
-void serverMisjudged(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void avoidMismatchedServer(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
-    View->AvoidUntil = Now + MisjudgedAvoidTime;
+    View->AvoidUntil = Now + MismatchAvoidTime;
 }
 
-size_t connectionsToKeep(const ServerPool &Pool, const ServiceName &Service) {
+size_t maxIdleConnections(const ServerPool &Pool, const ServiceName &Service) {
   const auto *Spec = findService(Pool, Service);
   if (Spec == nullptr || Spec->MaxConnections == 0)
     return MaxIdleConnections;
--- a/packages/core/src/forwarding/server_pool_func.h
+++ b/packages/core/src/forwarding/server_pool_func.h
@@ -15,7 +15,7 @@
  * nothing: unknown, and no request starts on the weights that it replaces.
  * @param Now Current time.
  */
-void poolFollows(ServerPool &Pool, const DocumentPtr &Doc,
+void applyPoolDocument(ServerPool &Pool, const DocumentPtr &Doc,
                  std::optional<TimePoint> PublishedAfter, TimePoint Now);
 
 /**
@@ -26,7 +26,7 @@
  * @param Unavailable Whether no process can read the list at present.
  * @param Now Current time.
  */
-void listingAway(ServerPool &Pool, bool Unavailable, TimePoint Now);
+void setListingUnavailable(ServerPool &Pool, bool Unavailable, TimePoint Now);
 
 /**
  * Applies an agent's report to the state of its back end.
@@ -34,7 +34,7 @@
  * @param Report The report.
  * @param Now Current time.
  */
-void agentTold(ServerPool &Pool, const AgentNews &Report, TimePoint Now);
+void applyAgentReport(ServerPool &Pool, const AgentReport &Report, TimePoint Now);
 
 /**
  * Chooses the back end for an attempt: the usable one with the lowest load.
@@ -70,7 +70,7 @@
  * @param Id Instance of the back end.
  * @param Now Current time.
  */
-void agentSilent(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void markAgentSilent(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
  * Checks a chosen back end again before the request is sent: its state may have
@@ -93,7 +93,7 @@
  * @return Time; nothing: no limit, as its weights are the wanted ones or
  * unknown.
  */
-std::optional<TimePoint> mayBeginUntil(const ServerPool &Pool,
+std::optional<TimePoint> latestStartTime(const ServerPool &Pool,
                                        const InstanceId &Id,
                                        const Digest &SentOn);
 
@@ -107,7 +107,7 @@
  * @param Now Current time.
  * @return The version; empty: any version is accepted.
  */
-std::string versionToDemand(const ServerPool &Pool, const InstanceId &Id,
+std::string requiredVersion(const ServerPool &Pool, const InstanceId &Id,
                             TimePoint Now);
 
 /**
@@ -117,14 +117,14 @@
  * @return The wanted weights; null where none are known, as for a service
  * without a model.
  */
-const WantedWeights *wantedAt(const ServerPool &Pool, const ServerView &View);
+const WantedWeights *wantedWeightsFor(const ServerPool &Pool, const ServerView &View);
 
 /**
  * Counts an attempt as open at its back end.
  * @param Pool State to change.
  * @param Id Instance of the back end.
  */
-void attemptOpened(ServerPool &Pool, const InstanceId &Id);
+void recordAttemptStart(ServerPool &Pool, const InstanceId &Id);
 
 /**
  * Records the load that a back end reported with an answer.
@@ -133,7 +133,7 @@
  * @param Busy Requests that run or wait there.
  * @param Now Current time.
  */
-void loadTold(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
+void recordServerLoad(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
               TimePoint Now);
 
 /**
@@ -142,7 +142,7 @@
  * @param Id Instance of the back end.
  * @param Now Current time.
  */
-void serverHeard(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void recordServerActivity(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
  * Gives when a back end last sent any part of an answer to this entry.
@@ -150,7 +150,7 @@
  * @param Id Instance of the back end.
  * @return Time of the last byte.
  */
-TimePoint lastHeard(const ServerPool &Pool, const InstanceId &Id);
+TimePoint lastActivityTime(const ServerPool &Pool, const InstanceId &Id);
 
 /**
  * Records how long the first part of an answer took.
@@ -158,7 +158,7 @@
  * @param Service Service that answered.
  * @param Took Time since the request was sent.
  */
-void firstPartCame(ServerPool &Pool, const ServiceName &Service, Duration Took);
+void recordFirstPartTime(ServerPool &Pool, const ServiceName &Service, Duration Took);
 
 /**
  * Gives the time within which most answers of a service begin.
@@ -167,7 +167,7 @@
  * @param Default Value to give before any answer was seen.
  * @return Time since the request was sent.
  */
-Duration usualFirstPart(const ServerPool &Pool, const ServiceName &Service,
+Duration usualFirstPartTime(const ServerPool &Pool, const ServiceName &Service,
                         Duration Default);
 
 /**
@@ -176,7 +176,7 @@
  * @param Id Instance of the back end.
  * @return The set; empty when unknown.
  */
-Digest weightsAt(const ServerPool &Pool, const InstanceId &Id);
+Digest loadedWeights(const ServerPool &Pool, const InstanceId &Id);
 
 /**
  * Records the prefill backlog of a back end from its agent's reply to a slot
@@ -185,7 +185,7 @@
  * @param Id Instance of the back end.
  * @param Backlog Time that its queued prompts take to prefill.
  */
-void readingTold(ServerPool &Pool, const InstanceId &Id, Duration Backlog);
+void recordPrefillBacklog(ServerPool &Pool, const InstanceId &Id, Duration Backlog);
 
 /**
  * Records the end of an attempt and what it shows of its back end.
@@ -195,7 +195,7 @@
  * @param Took End long it lasted.
  * @param Now Current time.
  */
-void attemptClosed(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
+void recordAttemptEnd(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
                    Duration Took, TimePoint Now);
 
 /**
@@ -205,7 +205,7 @@
  * @param Id Instance that is gone or has other weights.
  * @param Now Current time.
  */
-void serverMisjudged(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void avoidMismatchedServer(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
 
 /**
  * Gives how many idle connections this entry keeps to each back end of a
@@ -215,7 +215,7 @@
  * @param Service Service of the back ends.
  * @return Largest number of idle connections to one back end.
  */
-size_t connectionsToKeep(const ServerPool &Pool, const ServiceName &Service);
+size_t maxIdleConnections(const ServerPool &Pool, const ServiceName &Service);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/server_pool_type.h
+++ b/packages/core/src/forwarding/server_pool_type.h
@@ -17,7 +17,7 @@
 namespace jacinthpond {
 
 /** State of a back end as its agent reports it. */
-struct AgentNews {
+struct AgentReport {
   Address Server; ///< Where the back end accepts requests.
   WorkerState State = WorkerState::Empty; ///< Whether it can serve.
   uint32_t Busy = 0;                      ///< Requests that run or wait there.
@@ -33,10 +33,10 @@
   BackEndServer Listed;              ///< Its row in the document.
   std::optional<TimePoint> UnlistedSince; ///< When it left the list, if it has.
   uint32_t Open = 0;                 ///< Open attempts of this entry there.
-  uint32_t OtherWork = 0;     ///< Requests of other entries, as last reported.
+  uint32_t OtherRequests = 0;     ///< Requests of other entries, as last reported.
   Duration PrefillBacklog{0}; ///< Prefill time queued there, as last reported.
   TimePoint LoadReportedAt;           ///< When its load was last reported.
-  std::optional<AgentNews> Agent; ///< Last report of its agent.
+  std::optional<AgentReport> Agent; ///< Last report of its agent.
   TimePoint SilentSince;          ///< When the agent last stopped responding.
   Digest Weights;                 ///< Weights it has loaded, as last reported.
   uint32_t Failures = 0;          ///< Consecutive failed attempts.
@@ -55,7 +55,7 @@
 
 /** Weights of a model that were replaced; requests may start on them until a
  * deadline. */
-struct FormerWeights {
+struct ReplacedWeights {
   Digest Set;          ///< Digest of the set.
   std::string Version; ///< Its version, as the publisher names it.
   TimePoint Until;     ///< No request may start on them from this time on.
@@ -68,14 +68,14 @@
   /** Earliest time at which its document can have been published; nothing:
    * unknown. */
   std::optional<TimePoint> PublishedAfter;
-  std::vector<FormerWeights> Formers; ///< Replaced sets, oldest first.
+  std::vector<ReplacedWeights> ReplacedSets; ///< Replaced sets, oldest first.
 };
 
 /** Options of a server pool; from the settings. */
 struct PoolOptions {
   HostName Self;                 ///< Name of this entry.
   DomainName Domain;             ///< Failure domain of this entry.
-  Millis FormerWeightsFor{5000}; ///< Time for requests to start on replaced
+  Millis ReplacedWeightsTime{5000}; ///< Time for requests to start on replaced
                                  ///< weights.
   Millis LapseGrace{2200}; ///< Time for servers to register again after an
                            ///< outage of the list.
@@ -102,7 +102,7 @@
 struct ServerNeeds {
   ServiceName Service;           ///< Service that it is for.
   const Route *MatchedRoute = nullptr;   ///< Route that it matched.
-  const Tenant *Owner = nullptr; ///< Workspace that it belongs to; null: none.
+  const Workspace *Owner = nullptr; ///< Workspace that it belongs to; null: none.
   std::set<InstanceId> Tried;    ///< Back ends that were already tried.
   std::set<InstanceId> Full;     ///< Back ends that just reported no free slot.
   Digest Weights; ///< The only set that can resume the answer, as long as
--- a/packages/core/src/membership/departure.cpp
+++ b/packages/core/src/membership/departure.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void hostListRead(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
+void handleHostList(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
                   TimePoint Now, Effects &Out) {
   for (const HostName &Host : LeavingHosts)
     recordDeparture(Fleet, {Host, Incarnation{}, 0}, Now, Out);
@@ -86,7 +86,7 @@
   }
 }
 
-bool leavingIsKnown(const Membership &Fleet) {
+bool isLeavingAcknowledged(const Membership &Fleet) {
   // A link that was opened later carries no AttemptStart that could be lost:
   // its peer sends work only after a heartbeat, which says that this process is
   // leaving. Waiting for such links too would delay a shutdown for as long as
--- a/packages/core/src/membership/departure_func.h
+++ b/packages/core/src/membership/departure_func.h
@@ -25,7 +25,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void hostListRead(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
+void handleHostList(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
                   TimePoint Now, Effects &Out);
 
 /**
@@ -75,7 +75,7 @@
  * @param Fleet The state.
  * @return False while an acknowledgement is missing on a ready link.
  */
-bool leavingIsKnown(const Membership &Fleet);
+bool isLeavingAcknowledged(const Membership &Fleet);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/membership/join.cpp
+++ b/packages/core/src/membership/join.cpp
@@ -86,21 +86,21 @@
  * @return The time; empty when there was no such contact.
  */
 std::optional<TimePoint> lastAuthoritativeContact(const Membership &Fleet) {
-  std::optional<TimePoint> Last = Fleet.Joining.ServiceHeard;
+  std::optional<TimePoint> Last = Fleet.Joining.LastServiceAnswerAt;
   const bool Agent = Fleet.Self.Sender == Role::Agent;
   std::optional<TimePoint> LastOfAnyPeer;
   for (const auto &[Id, Link] : Fleet.Links) {
     if (!isReady(Link))
       continue;
-    const bool ReportsNews =
+    const bool ReportsDocuments =
         Link.Peer.Sender == Role::Entry && (Agent ? Link.Fresh : Link.Service);
-    LastOfAnyPeer = std::max(LastOfAnyPeer, std::optional(Link.LastHeard));
-    if (ReportsNews)
-      Last = std::max(Last, std::optional(Link.LastHeard));
+    LastOfAnyPeer = std::max(LastOfAnyPeer, std::optional(Link.LastActivityAt));
+    if (ReportsDocuments)
+      Last = std::max(Last, std::optional(Link.LastActivityAt));
   }
   // A service that answers nobody publishes nothing: its downtime must not
   // count towards the age of the next document.
-  return anybodyAnswered(Fleet, Fleet.LastTick) ? Last
+  return isServiceAnswering(Fleet, Fleet.LastTick) ? Last
                                                 : std::max(Last, LastOfAnyPeer);
 }
 
@@ -121,7 +121,7 @@
          Peer.Version > versionInForce(View);
 }
 
-bool viewIsFresh(const Membership &Fleet) { return Fleet.Joining.Fresh; }
+bool isViewFresh(const Membership &Fleet) { return Fleet.Joining.Fresh; }
 
 Membership makeMembership(const Settings &Config, Role Sender, Incarnation Run,
                           TimePoint Now) {
@@ -157,7 +157,7 @@
 }
 
 bool isInContact(const Membership &Fleet, TimePoint Now) {
-  const auto &Heard = Fleet.Joining.ServiceHeard;
+  const auto &Heard = Fleet.Joining.LastServiceAnswerAt;
   if (Heard && Now - *Heard <= Fleet.Times.CutOff)
     return true;
   // For an entry, a linked entry that the service answers counts as contact;
@@ -183,8 +183,8 @@
     Fleet.Joining.BacklogUntil = Now + Fleet.Times.Heartbeat * StallHeartbeats;
 }
 
-bool anybodyAnswered(const Membership &Fleet, TimePoint Now) {
-  const auto &Heard = Fleet.Joining.ServiceHeard;
+bool isServiceAnswering(const Membership &Fleet, TimePoint Now) {
+  const auto &Heard = Fleet.Joining.LastServiceAnswerAt;
   if (Heard && Now - *Heard <= Fleet.Times.CutOff)
     return true;
   return std::ranges::any_of(Fleet.Links, [](const auto &Row) {
--- a/packages/core/src/membership/join_func.h
+++ b/packages/core/src/membership/join_func.h
@@ -36,7 +36,7 @@
  * @param Fleet The state.
  * @return True while the view is fresh.
  */
-bool viewIsFresh(const Membership &Fleet);
+bool isViewFresh(const Membership &Fleet);
 
 /**
  * Marks the view as no longer fresh and forgets the peers' answers, so that all
@@ -84,7 +84,7 @@
  * @param Now Current time.
  * @return False when it seems to answer nobody.
  */
-bool anybodyAnswered(const Membership &Fleet, TimePoint Now);
+bool isServiceAnswering(const Membership &Fleet, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/membership/join_type.h
+++ b/packages/core/src/membership/join_type.h
@@ -22,7 +22,7 @@
   bool WasFresh = false;        ///< It has been fresh since the start.
   TimePoint Since;              ///< Start, end of a pause or loss of contact.
   bool ServiceAnswered = false; ///< A read begun after Since was answered.
-  std::optional<TimePoint> ServiceHeard; ///< Last answer of the service.
+  std::optional<TimePoint> LastServiceAnswerAt; ///< Last answer of the service.
   TimePoint LastContact;     ///< When this process was last in contact.
   uint32_t ReadFailures = 0; ///< Consecutive reads without a usable answer.
   /** Up to this time this process knows of every published document; empty:
--- a/packages/core/src/membership/membership.cpp
+++ b/packages/core/src/membership/membership.cpp
@@ -56,7 +56,7 @@
     Peer.Link = Link;
     PeerLink Opening;
     Opening.Link = Link;
-    Opening.LastHeard = Now;
+    Opening.LastActivityAt = Now;
     Fleet.Links[Link] = Opening;
     Out.push_back(OpenLink{Link, Peer.At});
   }
@@ -64,7 +64,7 @@
 
 } // namespace
 
-std::vector<LinkId> wantPeers(Membership &Fleet,
+std::vector<LinkId> setWantedPeers(Membership &Fleet,
                               const std::vector<PeerAddress> &Peers,
                               Effects &Out) {
   std::map<HostName, WantedPeer> Next;
@@ -95,14 +95,14 @@
   return Dropped;
 }
 
-void linkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out) {
+void handleLinkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out) {
   if (Link.Value >= FirstAcceptedLink)
     Fleet.Links[Link].Link = Link;
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end())
     return;
   it->second.State = LinkState::HelloSent;
-  it->second.LastHeard = Now;
+  it->second.LastActivityAt = Now;
   Out.push_back(SendMessage{Link, Fleet.Self});
 }
 
@@ -115,7 +115,7 @@
                   " version=" + std::to_string(Peer.Version.Value)});
 }
 
-void noteLinkLost(const Membership &Fleet, LinkId Link, TimePoint Now,
+void logLinkLost(const Membership &Fleet, LinkId Link, TimePoint Now,
                   Effects &Out) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end() || it->second.State != LinkState::Ready)
@@ -125,10 +125,10 @@
       LogNote{LogPart::Links, LogLevel::Info,
               "event=dependency_lost name=peer peer=" + Peer.Peer.Name.Value +
                   " silent_ms=" +
-                  std::to_string(toMillis(Now - Peer.LastHeard).count())});
+                  std::to_string(toMillis(Now - Peer.LastActivityAt).count())});
 }
 
-void linkClosed(Membership &Fleet, LinkId Link, TimePoint Now) {
+void handleLinkClosed(Membership &Fleet, LinkId Link, TimePoint Now) {
   removeLink(Fleet, Link, Now);
 }
 
@@ -144,11 +144,11 @@
   it->second.Fresh = Peer.Fresh;
 }
 
-bool linkHeard(Membership &Fleet, LinkId Link, TimePoint Now) {
+bool recordLinkActivity(Membership &Fleet, LinkId Link, TimePoint Now) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end())
     return false;
-  it->second.LastHeard = Now;
+  it->second.LastActivityAt = Now;
   return true;
 }
 
@@ -175,7 +175,7 @@
                           Effects &Out) {
   if (To.State == LinkState::Opening)
     return;
-  const auto &Heard = Fleet.Joining.ServiceHeard;
+  const auto &Heard = Fleet.Joining.LastServiceAnswerAt;
   Heartbeat Beat;
   Beat.Sequence = ++To.SentHeartbeats;
   Beat.Run = Fleet.Self.Run;
@@ -189,13 +189,13 @@
   Out.push_back(SendMessage{To.Link, Beat});
 }
 
-void heartbeatHeard(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
+void handleHeartbeat(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
                     TimePoint Now) {
   const auto it = Fleet.Links.find(Link);
-  if (it == Fleet.Links.end() || Beat.Sequence <= it->second.HeardHeartbeat)
+  if (it == Fleet.Links.end() || Beat.Sequence <= it->second.ReceivedHeartbeat)
     return;
   PeerLink &Peer = it->second;
-  Peer.HeardHeartbeat = Beat.Sequence;
+  Peer.ReceivedHeartbeat = Beat.Sequence;
   Peer.Peer.Run = Beat.Run;
   if (Peer.Version != Beat.Version)
     Peer.VersionSince = Now;
@@ -228,7 +228,7 @@
       sendHeartbeat(Fleet, Peer, Config, Now, Out);
 }
 
-bool mayBeatEarly(const Membership &Fleet, TimePoint Now) {
+bool canSendHeartbeatEarly(const Membership &Fleet, TimePoint Now) {
   const Millis MinInterval(
       static_cast<int64_t>(Fleet.Links.size() * HeartbeatBytes * 1000 /
                            EarlyHeartbeatBytesPerSecond));
@@ -240,10 +240,10 @@
   Fleet.LastTick = Now;
   std::vector<LinkId> Silent;
   for (const auto &[Link, Peer] : Fleet.Links)
-    if (Now - Peer.LastHeard > Fleet.Times.Silence)
+    if (Now - Peer.LastActivityAt > Fleet.Times.Silence)
       Silent.push_back(Link);
   for (const LinkId Link : Silent) {
-    noteLinkLost(Fleet, Link, Now, Out);
+    logLinkLost(Fleet, Link, Now, Out);
     recordSilentPeer(Fleet, Link);
     removeLink(Fleet, Link, Now);
     Out.push_back(CloseLink{Link});
--- a/packages/core/src/membership/membership_func.h
+++ b/packages/core/src/membership/membership_func.h
@@ -24,7 +24,7 @@
  * @param Out Effects are appended.
  * @return Links that were closed.
  */
-std::vector<LinkId> wantPeers(Membership &Fleet,
+std::vector<LinkId> setWantedPeers(Membership &Fleet,
                               const std::vector<PeerAddress> &Peers,
                               Effects &Out);
 
@@ -42,7 +42,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void noteLinkLost(const Membership &Fleet, LinkId Link, TimePoint Now,
+void logLinkLost(const Membership &Fleet, LinkId Link, TimePoint Now,
                   Effects &Out);
 
 /**
@@ -52,7 +52,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void linkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out);
+void handleLinkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out);
 
 /**
  * Handles a link that was closed: removes it and schedules the next attempt to
@@ -61,7 +61,7 @@
  * @param Link The link.
  * @param Now Current time.
  */
-void linkClosed(Membership &Fleet, LinkId Link, TimePoint Now);
+void handleLinkClosed(Membership &Fleet, LinkId Link, TimePoint Now);
 
 /**
  * Handles a peer's hello: the link becomes ready.
@@ -78,7 +78,7 @@
  * @param Now Current time.
  * @return False when the link is unknown, and the message is to be dropped.
  */
-bool linkHeard(Membership &Fleet, LinkId Link, TimePoint Now);
+bool recordLinkActivity(Membership &Fleet, LinkId Link, TimePoint Now);
 
 /**
  * Handles a heartbeat: updates what is known of the peer.
@@ -87,7 +87,7 @@
  * @param Beat The heartbeat.
  * @param Now Current time.
  */
-void heartbeatHeard(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
+void handleHeartbeat(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
                     TimePoint Now);
 
 /**
@@ -130,7 +130,7 @@
  * @param Now Current time.
  * @return False when the last one is too recent.
  */
-bool mayBeatEarly(const Membership &Fleet, TimePoint Now);
+bool canSendHeartbeatEarly(const Membership &Fleet, TimePoint Now);
 
 /**
  * Finds the ready link to a peer.
--- a/packages/core/src/membership/membership_type.h
+++ b/packages/core/src/membership/membership_type.h
@@ -37,11 +37,11 @@
   LinkId Link;                          ///< Identifier of the link.
   LinkState State = LinkState::Opening; ///< State of the link.
   Hello Peer;                           ///< The peer's hello; valid when Ready.
-  TimePoint LastHeard; ///< When a message arrived last, or it was opened.
+  TimePoint LastActivityAt; ///< When a message arrived last, or it was opened.
   uint64_t SentHeartbeats = 0; ///< Sequence of the last one sent.
   Digest SentConfigDigest;     ///< In the last heartbeat sent.
   Digest SentWeights;          ///< In the last heartbeat sent.
-  uint64_t HeardHeartbeat = 0; ///< Sequence of the last one received.
+  uint64_t ReceivedHeartbeat = 0; ///< Sequence of the last one received.
   ConfigVersion Version;       ///< In force at the peer, as last reported.
   Digest ConfigDigest;         ///< Digest of that document.
   TimePoint VersionSince;      ///< When Version was first reported.
--- a/packages/core/src/membership/pause.cpp
+++ b/packages/core/src/membership/pause.cpp
@@ -45,7 +45,7 @@
     Peer.Failures = 0;
   }
   Fleet.Self.Run = nextIncarnation(Fleet, Now);
-  Fleet.Joining.ServiceHeard.reset();
+  Fleet.Joining.LastServiceAnswerAt.reset();
   Fleet.LastTick = Now;
   restartJoin(Fleet, Now);
   return Dropped;
--- a/packages/core/src/membership/roster.cpp
+++ b/packages/core/src/membership/roster.cpp
@@ -16,7 +16,7 @@
 constexpr Millis EntryLifetime{60000};
 
 /** Makes the message that tells a peer of an entry. */
-EntrySeen entrySeenMessage(const EntryHost &Host) {
+EntryNotice makeEntryNotice(const EntryHost &Host) {
   return {Host.Name, Host.Domain, Host.Peers, Host.Callers};
 }
 
@@ -30,7 +30,7 @@
                    Effects &Out) {
   for (const auto &[Link, Peer] : Fleet.Links)
     if (Peer.State == LinkState::Ready && Peer.Peer.Name != Host.Name)
-      Out.push_back(SendMessage{Link, entrySeenMessage(Host)});
+      Out.push_back(SendMessage{Link, makeEntryNotice(Host)});
 }
 
 } // namespace
@@ -47,7 +47,7 @@
                      TimePoint Now, Effects &Out) {
   for (const auto &[Name, Known] : Fleet.Roster)
     if (Name != Peer.Name)
-      Out.push_back(SendMessage{Link, entrySeenMessage(Known.Host)});
+      Out.push_back(SendMessage{Link, makeEntryNotice(Known.Host)});
   if (Peer.Sender != Role::Entry || Peer.LinkAddress.Value.empty() ||
       Peer.Name == Fleet.Self.Name)
     return false;
@@ -61,7 +61,7 @@
   return true;
 }
 
-bool handleEntrySeen(Membership &Fleet, const EntrySeen &Seen, TimePoint Now,
+bool handleEntryNotice(Membership &Fleet, const EntryNotice &Seen, TimePoint Now,
                      Effects &Out) {
   // For a known entry its own hello has precedence over what peers report.
   if (Seen.Name == Fleet.Self.Name || Fleet.Roster.contains(Seen.Name))
--- a/packages/core/src/membership/roster_func.h
+++ b/packages/core/src/membership/roster_func.h
@@ -47,7 +47,7 @@
  * @param Out Effects are appended.
  * @return True when the entry was unknown.
  */
-bool handleEntrySeen(Membership &Fleet, const EntrySeen &Seen, TimePoint Now,
+bool handleEntryNotice(Membership &Fleet, const EntryNotice &Seen, TimePoint Now,
                      Effects &Out);
 
 /**
--- a/packages/core/src/routing/entry_addresses.cpp
+++ b/packages/core/src/routing/entry_addresses.cpp
@@ -28,7 +28,7 @@
   if (Entry.View.InForce->DomainsOut.contains(Host.Domain))
     return false;
   if (Host.Name == Entry.Fleet.Self.Name)
-    return !Entry.Stopping && viewIsFresh(Entry.Fleet) &&
+    return !Entry.Stopping && isViewFresh(Entry.Fleet) &&
            !isDeparting(Entry.Fleet, Host.Name, Entry.Fleet.Self.Run);
   if (const PeerLink *Link = readyLink(Entry.Fleet, Host.Name))
     return Link->Fresh && !Link->Leaving &&
@@ -40,7 +40,7 @@
 
 } // namespace
 
-std::vector<Address> addressesFor(const EntryState &Entry,
+std::vector<Address> entryAddressesFor(const EntryState &Entry,
                                   std::string_view Caller) {
   if (!Entry.View.InForce)
     return {};
--- a/packages/core/src/routing/entry_addresses_func.h
+++ b/packages/core/src/routing/entry_addresses_func.h
@@ -18,7 +18,7 @@
  * @param Caller Identifies the caller, to spread callers over the entries.
  * @return At most four addresses, in the order in which to try them.
  */
-std::vector<Address> addressesFor(const EntryState &Entry,
+std::vector<Address> entryAddressesFor(const EntryState &Entry,
                                   std::string_view Caller);
 
 } // namespace jacinthpond
--- a/packages/core/src/routing/load_view.cpp
+++ b/packages/core/src/routing/load_view.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-void stampLoad(const WorkerLoad &Load, Effects &Out) {
+void attachLoad(const WorkerLoad &Load, Effects &Out) {
   for (Effect &One : Out)
     if (auto *Sent = std::get_if<SendMessage>(&One))
       std::visit(
--- a/packages/core/src/routing/load_view_func.h
+++ b/packages/core/src/routing/load_view_func.h
@@ -19,7 +19,7 @@
  * @param Load The current load.
  * @param Out Effects to change.
  */
-void stampLoad(const WorkerLoad &Load, Effects &Out);
+void attachLoad(const WorkerLoad &Load, Effects &Out);
 
 /**
  * Records the load that a message reports. A refusal for lack of capacity makes
--- a/packages/core/src/routing/retry_budget.cpp
+++ b/packages/core/src/routing/retry_budget.cpp
@@ -14,9 +14,9 @@
 } // namespace
 
 void creditFirstAttempt(RetryBudget &Budget, const ClassName &Class,
-                        const TenantName &Tenant, TimePoint Now) {
+                        const WorkspaceName &Workspace, TimePoint Now) {
   auto &Buckets = Budget.Buckets;
-  const auto Name = std::pair(Class, Tenant);
+  const auto Name = std::pair(Class, Workspace);
   if (!Buckets.contains(Name)) {
     if (Buckets.size() >= MaxRetryBuckets)
       Buckets.erase(std::ranges::min_element(
@@ -30,8 +30,8 @@
 }
 
 bool trySpendRetry(RetryBudget &Budget, const ClassName &Class,
-                   const TenantName &Tenant) {
-  const auto it = Budget.Buckets.find({Class, Tenant});
+                   const WorkspaceName &Workspace) {
+  const auto it = Budget.Buckets.find({Class, Workspace});
   if (it == Budget.Buckets.end() ||
       it->second.Hundredths < HundredthsPerRetry) {
     ++Budget.Denied;
--- a/packages/core/src/routing/retry_budget_func.h
+++ b/packages/core/src/routing/retry_budget_func.h
@@ -33,7 +33,7 @@
  * @param Now Current time.
  */
 void creditFirstAttempt(RetryBudget &Budget, const ClassName &Class,
-                        const TenantName &Tenant, TimePoint Now);
+                        const WorkspaceName &Workspace, TimePoint Now);
 
 /**
  * Takes one retry out of the budget of a class and workspace, if it has one.
@@ -43,7 +43,7 @@
  * @return True when the retry may be made.
  */
 bool trySpendRetry(RetryBudget &Budget, const ClassName &Class,
-                   const TenantName &Tenant);
+                   const WorkspaceName &Workspace);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/routing/retry_budget_type.h
+++ b/packages/core/src/routing/retry_budget_type.h
@@ -20,7 +20,7 @@
 
 /** Remaining retries of an entry. */
 struct RetryBudget {
-  std::map<std::pair<ClassName, TenantName>, RetryBucket>
+  std::map<std::pair<ClassName, WorkspaceName>, RetryBucket>
       Buckets;         ///< By class and workspace.
   uint64_t Denied = 0; ///< Retries refused for lack of budget.
 };
--- a/packages/core/src/routing/worker_choice.cpp
+++ b/packages/core/src/routing/worker_choice.cpp
@@ -23,7 +23,7 @@
 /** True when this entry may send a call to a worker. */
 bool canTakeCall(const EntryState &Entry, const Worker &Host,
                  const Call &ActiveCall) {
-  if (!viewIsFresh(Entry.Fleet))
+  if (!isViewFresh(Entry.Fleet))
     return false;
   if (Entry.View.InForce->DomainsOut.contains(Host.Domain))
     return false;
@@ -42,7 +42,7 @@
 
 /** Key of the prompt prefix, within its workspace. */
 std::string affinityKey(const Call &ActiveCall) {
-  return ActiveCall.Received.Tenant.Value + "/" +
+  return ActiveCall.Received.Workspace.Value + "/" +
          ActiveCall.Received.Body.substr(0, AffinityPrefixBytes);
 }
 
@@ -69,7 +69,7 @@
   if (First != Candidates.end())
     return static_cast<size_t>(First - Candidates.begin());
   const Digest Fingerprint =
-      fingerprintOf(ActiveCall.Received.Tenant, ActiveCall.Received.Class,
+      fingerprintOf(ActiveCall.Received.Workspace, ActiveCall.Received.Class,
                     ActiveCall.Received.Body);
   const auto it =
       std::ranges::max_element(Candidates, {}, [&](const Candidate &Option) {
@@ -111,7 +111,7 @@
   if (Class.Kind != BackEndKind::Model)
     return chooseWorker(Candidates, "", Salt);
   return chooseForPrompt(Candidates, affinityKey(ActiveCall), [&] {
-    return fingerprintOf(ActiveCall.Received.Tenant, ActiveCall.Received.Class,
+    return fingerprintOf(ActiveCall.Received.Workspace, ActiveCall.Received.Class,
                          ActiveCall.Received.Body)
         .Value;
   });
@@ -123,7 +123,7 @@
   if (Entry.Suspects.Suspects.empty())
     return Suspicion::None;
   return suspicionOf(Entry.Suspects,
-                     fingerprintOf(ActiveCall.Received.Tenant,
+                     fingerprintOf(ActiveCall.Received.Workspace,
                                    ActiveCall.Received.Class,
                                    ActiveCall.Received.Body),
                      Now);
--- a/packages/core/src/settings/settings.cpp
+++ b/packages/core/src/settings/settings.cpp
@@ -136,7 +136,7 @@
   BOOST_LEAF_AUTO(Value, parseJson(Text, FileName, ErrorKind::InvalidSettings,
                                    &Duplicates));
   Settings Read;
-  FaultList Errors;
+  ValidationErrors Errors;
   ObjectReader Reader(Value, "", Errors);
   for (const std::string &Key : Duplicates)
     Reader.addError(Key.c_str(), "the key twice", "once, as only one would count");
@@ -163,11 +163,11 @@
   return fail(ErrorKind::InvalidSettings, Errors.joinErrors());
 }
 
-bool runsOnStore(const Settings &Config) {
+bool isOnStorePlatform(const Settings &Config) {
   return Config.Platform == PlatformNames.back();
 }
 
-Millis shutdownTime(const Settings &Config, Millis ToEnd) {
+Millis maxShutdownTime(const Settings &Config, Millis ToEnd) {
   const Millis Setting(Config.ShutdownMillis);
   if (Config.StopGraceSeconds == 0)
     return Setting;
--- a/packages/core/src/settings/settings_func.h
+++ b/packages/core/src/settings/settings_func.h
@@ -43,7 +43,7 @@
  * @param Config The settings.
  * @return False on a platform that publishes complete documents.
  */
-bool runsOnStore(const Settings &Config);
+bool isOnStorePlatform(const Settings &Config);
 
 /**
  * Computes how long a shutdown may wait for requests in progress: shutdown_ms,
@@ -53,7 +53,7 @@
  * @return The longest wait; if the host limits it, at least a quarter of
  *         stop_grace_s, or shutdown_ms if that is shorter.
  */
-Millis shutdownTime(const Settings &Config, Millis ToEnd);
+Millis maxShutdownTime(const Settings &Config, Millis ToEnd);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/status/status.cpp
+++ b/packages/core/src/status/status.cpp
@@ -78,7 +78,7 @@
 
 /** True when a worker may get new requests from this entry. */
 bool mayServeNow(const WorkerStatus &Host) {
-  return Host.Seen && !Host.Leaving && takesWork(Host.Load);
+  return Host.Seen && !Host.Leaving && canTakeWork(Host.Load);
 }
 
 /** Totals of the given workers for each failure domain. */
@@ -149,10 +149,10 @@
 }
 
 /** Number of open requests at this entry for each workspace. */
-std::map<TenantName, uint32_t> openByTenant(const EntryState &Entry) {
-  std::map<TenantName, uint32_t> Open;
+std::map<WorkspaceName, uint32_t> openByWorkspace(const EntryState &Entry) {
+  std::map<WorkspaceName, uint32_t> Open;
   for (const auto &[Id, One] : Entry.Calls)
-    ++Open[One.Received.Tenant];
+    ++Open[One.Received.Workspace];
   return Open;
 }
 
@@ -168,7 +168,7 @@
       Into.Workers.push_back(workerStatus(Entry, Host));
   Into.Domains = domainStatuses(Doc, Into.Workers);
   for (const WorkClass &Class : Doc.Classes)
-    if (seesClass(Access, Class.Name))
+    if (canSeeClass(Access, Class.Name))
       Into.Classes.push_back(classStatus(Class, Doc, Into.Workers));
   for (const ModelVersion &Model : Doc.Models)
     if (Access.Operator ||
@@ -176,11 +176,11 @@
           return Host.Model == Model.Name;
         }))
       Into.Models.push_back(modelStatus(Model, Into.Workers));
-  const std::map<TenantName, uint32_t> Open = openByTenant(Entry);
-  for (const Tenant &One : Doc.Tenants) {
+  const std::map<WorkspaceName, uint32_t> Open = openByWorkspace(Entry);
+  for (const Workspace &One : Doc.Workspaces) {
     const auto it = Open.find(One.Name);
-    if (seesTenant(Access, One.Name))
-      Into.Tenants.push_back({One.Name, it == Open.end() ? 0 : it->second});
+    if (canSeeWorkspace(Access, One.Name))
+      Into.Workspaces.push_back({One.Name, it == Open.end() ? 0 : it->second});
   }
 }
 
@@ -193,13 +193,13 @@
   Status.LastRefusal = Entry.View.LastRefusal;
   for (const auto &[Fingerprint, One] : Entry.Suspects.Suspects)
     Status.Suspects.push_back({Fingerprint, One.Deaths.size(), One.Proven,
-                               refusedFor(Entry.Suspects, Fingerprint, Now)});
+                               refusalTimeLeft(Entry.Suspects, Fingerprint, Now)});
   return Status;
 }
 
 } // namespace
 
-bool takesWork(const WorkerLoad &Load) {
+bool canTakeWork(const WorkerLoad &Load) {
   return Load.State == WorkerState::Serving ||
          Load.State == WorkerState::Warming;
 }
--- a/packages/core/src/status/status_func.h
+++ b/packages/core/src/status/status_func.h
@@ -25,7 +25,7 @@
  * @param Load Last load that it reported.
  * @return True for Warming and Serving.
  */
-bool takesWork(const WorkerLoad &Load);
+bool canTakeWork(const WorkerLoad &Load);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/status/status_type.h
+++ b/packages/core/src/status/status_type.h
@@ -69,8 +69,8 @@
 };
 
 /** One workspace. */
-struct TenantStatus {
-  TenantName Name;           ///< Its name.
+struct WorkspaceStatus {
+  WorkspaceName Name;           ///< Its name.
   uint32_t OpenRequests = 0; ///< Requests open at this entry.
 };
 
@@ -102,7 +102,7 @@
   std::vector<ModelStatus> Models;      ///< Models of visible classes.
   std::vector<ClassStatus> Classes;     ///< Visible classes.
   std::vector<WorkerStatus> Workers;    ///< Workers of visible classes.
-  std::vector<TenantStatus> Tenants;    ///< Visible workspaces.
+  std::vector<WorkspaceStatus> Workspaces;    ///< Visible workspaces.
   std::vector<ProcessStatus> Processes; ///< All processes; for operators only.
   RefusalStatus Refusals;               ///< For operators only.
 };
--- a/packages/core/src/status/team_access.cpp
+++ b/packages/core/src/status/team_access.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Result<TeamAccess> accessOf(const Document *Doc,
+Result<TeamAccess> authenticateTeam(const Document *Doc,
                             std::string_view Authorization) {
   if (Doc == nullptr)
     return fail(ErrorKind::StaleView, "no configuration yet");
@@ -47,22 +47,22 @@
   if (Found == nullptr)
     return fail(ErrorKind::Unauthorized, "wrong token");
   return TeamAccess{Found->Name, Found->Operator, Found->Classes,
-                    Found->Tenants};
+                    Found->Workspaces};
 }
 
-bool seesClass(const TeamAccess &Access, const ClassName &Class) {
+bool canSeeClass(const TeamAccess &Access, const ClassName &Class) {
   return Access.Operator || Access.Classes.contains(Class);
 }
 
-bool seesTenant(const TeamAccess &Access, const TenantName &Tenant) {
-  return Access.Operator || Access.Tenants.contains(Tenant);
+bool canSeeWorkspace(const TeamAccess &Access, const WorkspaceName &Workspace) {
+  return Access.Operator || Access.Workspaces.contains(Workspace);
 }
 
 bool canSeeWorker(const TeamAccess &Access, const Document &Doc,
                   const Worker &Host) {
   return Access.Operator ||
          std::ranges::any_of(Doc.Classes, [&](const WorkClass &Class) {
-           return seesClass(Access, Class.Name) && servesClass(Host, Class);
+           return canSeeClass(Access, Class.Name) && servesClass(Host, Class);
          });
 }
 
--- a/packages/core/src/status/team_access_func.h
+++ b/packages/core/src/status/team_access_func.h
@@ -19,7 +19,7 @@
  *         StaleView before the first document. The error never contains the
  * token.
  */
-Result<TeamAccess> accessOf(const Document *Doc,
+Result<TeamAccess> authenticateTeam(const Document *Doc,
                             std::string_view Authorization);
 
 /**
@@ -28,7 +28,7 @@
  * @param Class Name of the class.
  * @return True for its own classes, and for operators.
  */
-bool seesClass(const TeamAccess &Access, const ClassName &Class);
+bool canSeeClass(const TeamAccess &Access, const ClassName &Class);
 
 /**
  * Says whether a team may see a workspace.
@@ -36,7 +36,7 @@
  * @param Tenant Name of the workspace.
  * @return True for its own workspaces, and for operators.
  */
-bool seesTenant(const TeamAccess &Access, const TenantName &Tenant);
+bool canSeeWorkspace(const TeamAccess &Access, const WorkspaceName &Workspace);
 
 /**
  * Says whether a team may see a worker.
--- a/packages/core/src/status/team_access_type.h
+++ b/packages/core/src/status/team_access_type.h
@@ -15,7 +15,7 @@
   std::string Team;             ///< Name of the team, for logs.
   bool Operator = false;        ///< May see everything.
   std::set<ClassName> Classes;  ///< Classes that it may see.
-  std::set<TenantName> Tenants; ///< Workspaces that it may see.
+  std::set<WorkspaceName> Workspaces; ///< Workspaces that it may see.
 };
 
 } // namespace jacinthpond
--- a/packages/core/src/table/error_table.h
+++ b/packages/core/src/table/error_table.h
@@ -26,7 +26,7 @@
          "There is no such path or class."},
         {ErrorKind::Overloaded, "overloaded", 503, Ran::No, 500,
          "All workers of the class are busy."},
-        {ErrorKind::TenantLimit, "tenant_limit", 429, Ran::No, 500,
+        {ErrorKind::WorkspaceLimit, "tenant_limit", 429, Ran::No, 500,
          "The tenant's share is used up."},
         {ErrorKind::RateLimited, "rate_limited", 503, Ran::No, 500,
          "The back end takes no more requests a second."},
--- a/packages/core/src/weights/origin_draw.cpp
+++ b/packages/core/src/weights/origin_draw.cpp
@@ -12,7 +12,7 @@
 /** Maximum of concurrent requests to the origin. */
 constexpr size_t MaxOriginRequests = 2;
 /** Delay before a chunk is requested again after a failure of the origin. */
-constexpr Millis OriginRetry{200};
+constexpr Millis OriginRetryDelay{200};
 /**
  * Ranks that this host is put back for a chunk that a linked agent announced to
  * be fetching. The request of that agent may be queued at the origin; if it
@@ -91,7 +91,7 @@
   const size_t Rank = ownOriginRank(Transfer, n, Now) + (Chunk.Seen ? 1 : 0) +
                       (Claimed ? ClaimRanks : 0);
   const bool Quiet =
-      Now - Transfer.LastNewsAt >=
+      Now - Transfer.AvailabilityChangedAt >=
       Transfer.Options.TakeoverDelay * static_cast<int64_t>(Rank);
   return (Quiet || isOverdue(Transfer, Rank, Now)) &&
          !hasUsableHolder(Transfer, n, false, Now);
@@ -125,11 +125,11 @@
 }
 
 void recordOriginFailure(TransferState &Transfer, size_t n, TimePoint Now) {
-  Transfer.Chunks[n].RetryAt = Now + OriginRetry;
+  Transfer.Chunks[n].RetryAt = Now + OriginRetryDelay;
   // The origin may be down for all hosts, which looks as if all other fetchers
   // had failed. If each host took over for all of them, the origin would have
   // to send every chunk to every host once it is back.
-  Transfer.LastNewsAt = Now;
+  Transfer.AvailabilityChangedAt = Now;
   Transfer.SubstitutedHosts.clear();
   if (Transfer.MostSeenSince)
     Transfer.MostSeenSince = Now;
--- a/packages/core/src/weights/rollout.cpp
+++ b/packages/core/src/weights/rollout.cpp
@@ -121,9 +121,9 @@
     return View;
   View.LastAnswered = Now;
   // Until it learnt of this set, it reported the chunks of the previous one.
-  const bool NewSet = Link->Load.ChunksHeld < View.MostHeld / 2;
-  if (NewSet || Link->Load.ChunksHeld > View.MostHeld) {
-    View.MostHeld = Link->Load.ChunksHeld;
+  const bool NewSet = Link->Load.ChunksHeld < View.MaxChunksHeld / 2;
+  if (NewSet || Link->Load.ChunksHeld > View.MaxChunksHeld) {
+    View.MaxChunksHeld = Link->Load.ChunksHeld;
     View.LastProgress = Now;
   }
   return View;
@@ -160,12 +160,12 @@
  * for these orders.
  */
 bool isLoadHarmless(const AgentState &Agent) {
-  return Agent.Weights.AtEngine && Agent.Weights.Loaded.Value.empty();
+  return Agent.Weights.StagedAtEngine && Agent.Weights.Loaded.Value.empty();
 }
 
 /** Says whether this agent's view is recent enough to order a load. */
 bool mayOrder(const AgentState &Agent) {
-  return viewIsFresh(Agent.Fleet) || isLoadHarmless(Agent);
+  return isViewFresh(Agent.Fleet) || isLoadHarmless(Agent);
 }
 
 /**
@@ -198,7 +198,7 @@
   return Found;
 }
 
-std::vector<LinkId> followPeers(AgentState &Agent, Effects &Out) {
+std::vector<LinkId> updatePeerLinks(AgentState &Agent, Effects &Out) {
   std::vector<PeerAddress> Peers = chunkPeers(Agent.Transfer.Plan);
   std::vector<size_t> Before = predecessors(Agent, false);
   std::ranges::copy(predecessors(Agent, true), std::back_inserter(Before));
@@ -207,7 +207,7 @@
     if (std::ranges::find(Peers, Host.Name, &PeerAddress::Name) == Peers.end())
       Peers.push_back({Host.Name, Host.AgentAddress});
   }
-  return wantPeers(Agent.Fleet, Peers, Out);
+  return setWantedPeers(Agent.Fleet, Peers, Out);
 }
 
 void loadInTurn(AgentState &Agent, TimePoint Now, Effects &Out) {
@@ -225,14 +225,14 @@
   if (Agent.Rollout.Set != Weights.Wanted.Set)
     beginRollout(Agent.Rollout, Weights.Wanted.Set);
   const bool Turn = isTurnToLoad(Agent, Now);
-  const bool Near = Agent.Weights.AtEngine && isNearlyComplete(Agent.Transfer);
+  const bool Near = Agent.Weights.StagedAtEngine && isNearlyComplete(Agent.Transfer);
   if (!isWantedSetComplete(Weights) && !Near) {
     // The last chunks do not arrive: serve on rather than drain for nothing.
     Weights.Draining = false;
     return;
   }
   const bool TooOld =
-      isTooOldToServe(Weights, formerWeightsTime(Agent.Config), Now);
+      isTooOldToServe(Weights, replacedWeightsTime(Agent.Config), Now);
   // A worker that serves nothing need not wait for its turn.
   if (mayServe(Weights) && !Turn && !TooOld)
     return;
--- a/packages/core/src/weights/rollout_func.h
+++ b/packages/core/src/weights/rollout_func.h
@@ -36,7 +36,7 @@
  * @param Out Effects are appended.
  * @return Links that were dropped.
  */
-std::vector<LinkId> followPeers(AgentState &Agent, Effects &Out);
+std::vector<LinkId> updatePeerLinks(AgentState &Agent, Effects &Out);
 
 /**
  * Drains the worker when it is its turn to load the wanted weights, and orders
--- a/packages/core/src/weights/transfer.cpp
+++ b/packages/core/src/weights/transfer.cpp
@@ -63,7 +63,7 @@
     return;
   Chunk.Seen = true;
   Chunk.SeenSince = Now;
-  Transfer.LastNewsAt = Now;
+  Transfer.AvailabilityChangedAt = Now;
   ++Transfer.SeenCount;
   const auto Most = static_cast<size_t>(
       MostSeenShare * static_cast<double>(Transfer.Chunks.size()));
@@ -123,7 +123,7 @@
   Transfer.Missing.clear();
   Transfer.Partial.clear();
   Transfer.SubstitutedHosts.clear();
-  Transfer.LastNewsAt = Now;
+  Transfer.AvailabilityChangedAt = Now;
   Transfer.AnnouncementDue = true;
   for (size_t n = 0; n < Transfer.Digests.size(); ++n) {
     const bool First = Transfer.IndexOf.emplace(Transfer.Digests[n], n).second;
@@ -321,7 +321,7 @@
  * @return False when nothing was received or its digest is wrong.
  */
 bool acceptChunk(TransferState &Transfer, WeightsState &Weights,
-                 const Digest &Chunk, const CheckedChunk &Arrived,
+                 const Digest &Chunk, const DigestedChunk &Arrived,
                  TimePoint Now, Effects &Out) {
   const auto it = Transfer.IndexOf.find(Chunk);
   // The wanted version may have changed since the request.
@@ -340,7 +340,7 @@
     return true;
   }
   Transfer.RateWindowBytes += Arrived.Bytes->size();
-  if (Weights.AtEngine) {
+  if (Weights.StagedAtEngine) {
     // Holding two sets in each agent would dominate the memory use of the
     // fleet, and the engine has room for a second set anyway.
     Progress.Requested = true;
@@ -364,7 +364,7 @@
           " ms=" + std::to_string(toMillis(Now - Transfer.StartedAt).count()) +
           " from_origin=" + std::to_string(Count.BytesFromOrigin) +
           " from_domain=" + std::to_string(Count.BytesFromPeers) +
-          " from_others=" + std::to_string(Count.BytesAcross)});
+          " from_others=" + std::to_string(Count.BytesFromOtherDomains)});
 }
 
 } // namespace
@@ -385,15 +385,15 @@
   return Transfer;
 }
 
-CheckedChunk checkChunk(ChunkBytes Bytes) {
-  CheckedChunk Checked;
+DigestedChunk digestChunk(ChunkBytes Bytes) {
+  DigestedChunk Checked;
   if (Bytes != nullptr)
     Checked.Actual = sha256(*Bytes);
   Checked.Bytes = std::move(Bytes);
   return Checked;
 }
 
-void planTransfer(TransferState &Transfer, const WeightsState &Weights,
+void updateTransferPlan(TransferState &Transfer, const WeightsState &Weights,
                   const Document &Doc, const HostName &Self, TimePoint Now) {
   if (Transfer.Plan.Hosts.empty())
     Transfer.LinksSettledAt = Now + SettleTime;
@@ -408,7 +408,7 @@
     beginSet(Transfer, Weights, Now);
 }
 
-void chunkPeerReady(TransferState &Transfer, LinkId Link, const HostName &Name,
+void addChunkPeer(TransferState &Transfer, LinkId Link, const HostName &Name,
                     bool SameDomain) {
   ChunkPeer &Peer = Transfer.Peers[Link];
   Transfer.LostPeers.erase(Name);
@@ -421,7 +421,7 @@
     Peer.AvoidUntil = it->second.Until;
 }
 
-void chunkPeerGone(TransferState &Transfer, LinkId Link, TimePoint Now) {
+void removeChunkPeer(TransferState &Transfer, LinkId Link, TimePoint Now) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
@@ -433,7 +433,7 @@
                 [&](const Upload &One) { return One.Link == Link; });
 }
 
-void chunkHaveHeard(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
+void recordAnnouncement(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
                     TimePoint Now) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
@@ -443,8 +443,8 @@
   countAnnounced(Transfer, it->second, true, Now);
 }
 
-void chunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
-                   const Digest &Chunk, const CheckedChunk &Arrived,
+void receiveChunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
+                   const Digest &Chunk, const DigestedChunk &Arrived,
                    TimePoint Now, Effects &Out) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
@@ -461,10 +461,10 @@
   }
   const uint64_t Bytes = Arrived.Bytes == nullptr ? 0 : Arrived.Bytes->size();
   (Peer.SameDomain ? Transfer.Counters.BytesFromPeers
-                   : Transfer.Counters.BytesAcross) += Bytes;
+                   : Transfer.Counters.BytesFromOtherDomains) += Bytes;
 }
 
-std::optional<std::string> partFromPeer(TransferState &Transfer, LinkId Link,
+std::optional<std::string> receiveChunkPart(TransferState &Transfer, LinkId Link,
                                         const ChunkData &Data, TimePoint Now,
                                         Effects &Out) {
   const auto Peer = Transfer.Peers.find(Link);
@@ -493,8 +493,8 @@
   return std::nullopt;
 }
 
-void chunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
-                     const Digest &Chunk, const CheckedChunk &Arrived,
+void receiveChunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
+                     const Digest &Chunk, const DigestedChunk &Arrived,
                      TimePoint Now, Effects &Out) {
   if (Transfer.OriginRequests > 0)
     --Transfer.OriginRequests;
@@ -506,7 +506,7 @@
   recordOriginFailure(Transfer, Transfer.IndexOf.at(Chunk), Now);
 }
 
-void chunkStaged(TransferState &Transfer, WeightsState &Weights,
+void recordStagedChunk(TransferState &Transfer, WeightsState &Weights,
                  const ChunkRef &Chunk, bool Staged, TimePoint Now) {
   const auto it = Transfer.IndexOf.find(Chunk.Content);
   // The wanted version may have changed since then.
@@ -518,7 +518,7 @@
     addHeldChunk(Transfer, Weights, it->second, nullptr, Now);
 }
 
-void chunkSpoilt(TransferState &Transfer, WeightsState &Weights,
+void dropDamagedChunk(TransferState &Transfer, WeightsState &Weights,
                  const Digest &Chunk) {
   const auto it = Transfer.IndexOf.find(Chunk);
   if (it == Transfer.IndexOf.end() || Weights.Held.erase(Chunk) == 0)
@@ -536,11 +536,11 @@
   return All;
 }
 
-void moveChunks(TransferState &Transfer, const WeightsState &Weights,
+void advanceTransfer(TransferState &Transfer, const WeightsState &Weights,
                 TimePoint Now, Effects &Out) {
   measureRate(Transfer, Now);
   announceChunks(Transfer, Now, Out);
-  serveUploads(Transfer, Weights, Now, Out);
+  sendUploads(Transfer, Weights, Now, Out);
   logCompletion(Transfer, Now, Out);
   if (Transfer.Missing.empty() || Weights.Loaded == Weights.Wanted.Set)
     return;
@@ -558,7 +558,7 @@
   Load.BytesPerSecond = Transfer.BytesPerSecond;
   Load.BytesFromOrigin = Transfer.Counters.BytesFromOrigin;
   Load.BytesFromPeers = Transfer.Counters.BytesFromPeers;
-  Load.BytesAcross = Transfer.Counters.BytesAcross;
+  Load.BytesFromOtherDomains = Transfer.Counters.BytesFromOtherDomains;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/transfer_func.h
+++ b/packages/core/src/weights/transfer_func.h
@@ -23,7 +23,7 @@
  * @param Bytes Content, or null.
  * @return The content with its digest.
  */
-CheckedChunk checkChunk(ChunkBytes Bytes);
+DigestedChunk digestChunk(ChunkBytes Bytes);
 
 /**
  * Updates the plan to the published workers, and starts to fetch the wanted set
@@ -34,7 +34,7 @@
  * @param Self Name of this host.
  * @param Now Current time.
  */
-void planTransfer(TransferState &Transfer, const WeightsState &Weights,
+void updateTransferPlan(TransferState &Transfer, const WeightsState &Weights,
                   const Document &Doc, const HostName &Self, TimePoint Now);
 
 /**
@@ -44,7 +44,7 @@
  * @param Name Its published name.
  * @param SameDomain Whether it is in this host's domain.
  */
-void chunkPeerReady(TransferState &Transfer, LinkId Link, const HostName &Name,
+void addChunkPeer(TransferState &Transfer, LinkId Link, const HostName &Name,
                     bool SameDomain);
 
 /**
@@ -54,7 +54,7 @@
  * @param Link The link.
  * @param Now Current time.
  */
-void chunkPeerGone(TransferState &Transfer, LinkId Link, TimePoint Now);
+void removeChunkPeer(TransferState &Transfer, LinkId Link, TimePoint Now);
 
 /**
  * Records which chunks a peer announced to hold or to be importing.
@@ -63,7 +63,7 @@
  * @param Have The announcement.
  * @param Now Current time.
  */
-void chunkHaveHeard(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
+void recordAnnouncement(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
                     TimePoint Now);
 
 /**
@@ -78,8 +78,8 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void chunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
-                   const Digest &Chunk, const CheckedChunk &Arrived,
+void receiveChunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
+                   const Digest &Chunk, const DigestedChunk &Arrived,
                    TimePoint Now, Effects &Out);
 
 /**
@@ -93,8 +93,8 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void chunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
-                     const Digest &Chunk, const CheckedChunk &Arrived,
+void receiveChunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
+                     const Digest &Chunk, const DigestedChunk &Arrived,
                      TimePoint Now, Effects &Out);
 
 /**
@@ -105,7 +105,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void moveChunks(TransferState &Transfer, const WeightsState &Weights,
+void advanceTransfer(TransferState &Transfer, const WeightsState &Weights,
                 TimePoint Now, Effects &Out);
 
 /**
@@ -118,7 +118,7 @@
  * @return The whole chunk, not verified, once its last part is received; an
  * empty string when the peer does not hold it; nothing otherwise.
  */
-std::optional<std::string> partFromPeer(TransferState &Transfer, LinkId Link,
+std::optional<std::string> receiveChunkPart(TransferState &Transfer, LinkId Link,
                                         const ChunkData &Data, TimePoint Now,
                                         Effects &Out);
 
@@ -131,7 +131,7 @@
  * @param Staged False when the engine did not take it.
  * @param Now Current time.
  */
-void chunkStaged(TransferState &Transfer, WeightsState &Weights,
+void recordStagedChunk(TransferState &Transfer, WeightsState &Weights,
                  const ChunkRef &Chunk, bool Staged, TimePoint Now);
 
 /**
@@ -140,7 +140,7 @@
  * @param Weights Held chunks; the chunk is removed.
  * @param Chunk The chunk.
  */
-void chunkSpoilt(TransferState &Transfer, WeightsState &Weights,
+void dropDamagedChunk(TransferState &Transfer, WeightsState &Weights,
                  const Digest &Chunk);
 
 /**
--- a/packages/core/src/weights/transfer_type.h
+++ b/packages/core/src/weights/transfer_type.h
@@ -19,7 +19,7 @@
 namespace jacinthpond {
 
 /** A received chunk with the digest of its actual content. */
-struct CheckedChunk {
+struct DigestedChunk {
   Digest Actual;    ///< Digest of Bytes; empty: nothing was received.
   ChunkBytes Bytes; ///< Content, or null.
 };
@@ -86,7 +86,7 @@
 struct TransferCounters {
   uint64_t BytesFromOrigin = 0; ///< Valid chunks from the origin.
   uint64_t BytesFromPeers = 0;  ///< Valid chunks from this domain.
-  uint64_t BytesAcross = 0;     ///< Valid chunks from other domains.
+  uint64_t BytesFromOtherDomains = 0;     ///< Valid chunks from other domains.
   uint64_t BytesSent = 0;       ///< Chunks sent to peers.
   uint64_t BadChunks = 0;       ///< Chunks with a wrong digest.
   uint64_t Repeated = 0;        ///< Received chunks that were already held.
@@ -119,7 +119,7 @@
   std::set<size_t> SubstitutedHosts; ///< Hosts whose origin chunks this host
                                      ///< took over, by position in the plan.
   TimePoint LinksSettledAt; ///< When links should be up after the start.
-  TimePoint LastNewsAt;     ///< Last time that a chunk was first seen, or that
+  TimePoint AvailabilityChangedAt;     ///< Last time that a chunk was first seen, or that
                             ///< the origin failed.
   TimePoint AnnouncedAt;    ///< Last announcement to all peers.
   bool AnnouncementDue = false; ///< There are changes to announce.
--- a/packages/core/src/weights/upload.cpp
+++ b/packages/core/src/weights/upload.cpp
@@ -35,7 +35,7 @@
   const ChunkPeer &Peer = Transfer.Peers.at(One.Link);
   if (Peer.BacklogBytes > MaxBacklogBytes)
     return false;
-  return Peer.SameDomain || rateAllows(Transfer.CrossDomain, Now);
+  return Peer.SameDomain || isWithinRate(Transfer.CrossDomain, Now);
 }
 
 /** Gives the reference of a staged chunk, for the engine to send it. */
@@ -59,17 +59,17 @@
   const auto it = Weights.Held.find(One.Chunk);
   const bool Staged = it != Weights.Held.end() && it->second == nullptr;
   if (it != Weights.Held.end() && !Staged)
-    takePart(*it->second, One.Offset, One.Length, Data);
+    copyChunkPart(*it->second, One.Offset, One.Length, Data);
   const size_t Whole = Weights.Wanted.ChunkBytes;
   const size_t Part = One.Length == 0 ? Whole : std::min(One.Length, Whole);
   const size_t Bytes = Staged ? Part : Data.Bytes.size();
-  rateSpend(Transfer.Uplink, static_cast<double>(Bytes));
+  takeRateTokens(Transfer.Uplink, static_cast<double>(Bytes));
   if (!Peer.SameDomain)
-    rateSpend(Transfer.CrossDomain, static_cast<double>(Bytes));
+    takeRateTokens(Transfer.CrossDomain, static_cast<double>(Bytes));
   Peer.BacklogBytes += Bytes;
   Transfer.Counters.BytesSent += Bytes;
   if (Staged)
-    Out.push_back(SendStaged{One.Link, stagedRef(Transfer, One.Chunk),
+    Out.push_back(SendStagedChunk{One.Link, stagedRef(Transfer, One.Chunk),
                              One.Offset, One.Length});
   else
     Out.push_back(SendMessage{One.Link, std::move(Data)});
@@ -77,7 +77,7 @@
 
 } // namespace
 
-void chunkRequested(TransferState &Transfer, const WeightsState &Weights,
+void queueUpload(TransferState &Transfer, const WeightsState &Weights,
                     LinkId Link, const ChunkRequest &Request, Effects &Out) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
@@ -93,7 +93,7 @@
       {Link, Request.Chunk, Request.Offset, Request.Length});
 }
 
-void takePart(const std::string &Whole, uint64_t Offset, uint64_t Length,
+void copyChunkPart(const std::string &Whole, uint64_t Offset, uint64_t Length,
               ChunkData &Into) {
   Into.Offset = std::min<uint64_t>(Offset, Whole.size());
   Into.Total = Whole.size();
@@ -101,9 +101,9 @@
       Whole.substr(Into.Offset, Length == 0 ? std::string::npos : Length);
 }
 
-void serveUploads(TransferState &Transfer, const WeightsState &Weights,
+void sendUploads(TransferState &Transfer, const WeightsState &Weights,
                   TimePoint Now, Effects &Out) {
-  while (rateAllows(Transfer.Uplink, Now) &&
+  while (isWithinRate(Transfer.Uplink, Now) &&
          totalBacklog(Transfer) <= MaxTotalBacklogBytes) {
     const auto it =
         std::ranges::find_if(Transfer.Uploads, [&](const Upload &One) {
--- a/packages/core/src/weights/upload_func.h
+++ b/packages/core/src/weights/upload_func.h
@@ -16,7 +16,7 @@
  * @param Request The request.
  * @param Out Effects are appended.
  */
-void chunkRequested(TransferState &Transfer, const WeightsState &Weights,
+void queueUpload(TransferState &Transfer, const WeightsState &Weights,
                     LinkId Link, const ChunkRequest &Request, Effects &Out);
 
 /**
@@ -27,7 +27,7 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void serveUploads(TransferState &Transfer, const WeightsState &Weights,
+void sendUploads(TransferState &Transfer, const WeightsState &Weights,
                   TimePoint Now, Effects &Out);
 
 /**
@@ -37,7 +37,7 @@
  * @param Length Its length; 0: to the end of the chunk.
  * @param Into Answer whose bytes, offset and total are set.
  */
-void takePart(const std::string &Whole, uint64_t Offset, uint64_t Length,
+void copyChunkPart(const std::string &Whole, uint64_t Offset, uint64_t Length,
               ChunkData &Into);
 
 } // namespace jacinthpond
--- a/packages/core/src/weights/weights.cpp
+++ b/packages/core/src/weights/weights.cpp
@@ -14,7 +14,7 @@
 /** Maximum of the low bits of a fencing number. */
 constexpr uint64_t MaxFenceLow = (uint64_t{1} << FenceBits) - 1;
 /** Delay after a first failed order; doubled with each further one. */
-constexpr Millis OrderRetry{200};
+constexpr Millis LoadOrderRetryDelay{200};
 constexpr uint32_t MaxDoublings = 6;
 
 /** Maximum number of sets whose replacement time is kept. */
@@ -36,17 +36,17 @@
 
 } // namespace
 
-Millis formerWeightsTime(const Settings &Config) {
+Millis replacedWeightsTime(const Settings &Config) {
   return std::max(Millis(Config.WeightsChangeMillis) - StartMargin, Millis{0});
 }
 
-bool isTooOldToServe(const WeightsState &Weights, Millis FormerTime,
+bool isTooOldToServe(const WeightsState &Weights, Millis ReplacedSetTime,
                      TimePoint Now) {
-  return Weights.AtEngine && Weights.OutdatedSince &&
-         Now - *Weights.OutdatedSince >= FormerTime;
+  return Weights.StagedAtEngine && Weights.OutdatedSince &&
+         Now - *Weights.OutdatedSince >= ReplacedSetTime;
 }
 
-void noteNewest(WeightsState &Weights, const Digest &Set, TimePoint Since) {
+void recordNewestSet(WeightsState &Weights, const Digest &Set, TimePoint Since) {
   if (Weights.Newest == Set)
     return;
   if (!Weights.Newest.Value.empty())
@@ -65,7 +65,7 @@
     Weights.OutdatedSince = Weights.ReplacedAt[Weights.Loaded] = Since;
 }
 
-void noteLoaded(WeightsState &Weights, const Digest &Set) {
+void recordLoadedSet(WeightsState &Weights, const Digest &Set) {
   if (Weights.Loaded == Set)
     return;
   Weights.Loaded = Set;
@@ -80,7 +80,7 @@
       it == Weights.ReplacedAt.end() ? Weights.NewestSince : it->second;
 }
 
-void wantWeights(WeightsState &Weights, const ModelVersion &Wanted) {
+void setWantedWeights(WeightsState &Weights, const ModelVersion &Wanted) {
   if (Weights.Wanted.Set == Wanted.Set)
     return;
   Weights.PreviousChunks = std::move(Weights.Wanted.Chunks);
@@ -119,14 +119,14 @@
   Weights.OrderedSet = Load.Order.Set;
   Weights.OrderedRun = Weights.EngineRun;
   Weights.Loading = true;
-  ++Weights.OrdersGiven;
+  ++Weights.OrdersSent;
   Weights.Draining = false;
   Out.push_back(std::move(Load));
   Out.push_back(LogNote{LogPart::Weights, LogLevel::Info,
                         "Loading version " + Weights.Wanted.Version + "."});
 }
 
-void orderEnded(WeightsState &Weights, bool Taken, TimePoint Now) {
+void recordOrderEnd(WeightsState &Weights, bool Taken, TimePoint Now) {
   ++Weights.OrdersEnded;
   Weights.Loaded = Digest{};
   if (Taken) {
@@ -134,7 +134,7 @@
     return;
   }
   const uint32_t Doublings = std::min(Weights.FailedOrders, MaxDoublings);
-  Weights.NextOrder = Now + OrderRetry * (1U << Doublings);
+  Weights.NextOrder = Now + LoadOrderRetryDelay * (1U << Doublings);
   ++Weights.FailedOrders;
   // A restarted agent counts from the start, and an engine that remembers the
   // numbers of its former incarnation would refuse it forever. Doubling soon
@@ -143,11 +143,11 @@
   Weights.NextFence = std::min(Weights.NextFence * 2, MaxFenceLow);
 }
 
-void orderUnconfirmed(WeightsState &Weights) {
+void markOrderUnconfirmed(WeightsState &Weights) {
   Weights.Unconfirmed.insert(Weights.OrderedSet);
 }
 
-void orderConfirmed(WeightsState &Weights) { Weights.Unconfirmed.clear(); }
+void markOrderConfirmed(WeightsState &Weights) { Weights.Unconfirmed.clear(); }
 
 Digest confirmedSet(WeightsState &Weights, const std::string &Run,
                     const Digest &Reported) {
--- a/packages/core/src/weights/weights_func.h
+++ b/packages/core/src/weights/weights_func.h
@@ -16,17 +16,17 @@
  * @param Config The settings.
  * @return Time since the replacement.
  */
-Millis formerWeightsTime(const Settings &Config);
+Millis replacedWeightsTime(const Settings &Config);
 
 /**
  * Says whether the loaded weights were replaced so long ago that no request may
  * start on them. Applies to engines that entries send requests to themselves.
  * @param Weights The state.
- * @param FormerTime How long requests may start on replaced weights.
+ * @param ReplacedSetTime How long requests may start on replaced weights.
  * @param Now Current time.
  * @return True once that time has passed.
  */
-bool isTooOldToServe(const WeightsState &Weights, Millis FormerTime,
+bool isTooOldToServe(const WeightsState &Weights, Millis ReplacedSetTime,
                      TimePoint Now);
 
 /**
@@ -36,14 +36,14 @@
  * @param Set The set.
  * @param Since Earliest time at which it can have been published.
  */
-void noteNewest(WeightsState &Weights, const Digest &Set, TimePoint Since);
+void recordNewestSet(WeightsState &Weights, const Digest &Set, TimePoint Since);
 
 /**
  * Records which set the engine has loaded, and since when that set is replaced.
  * @param Weights State to change.
  * @param Set The set; empty: none.
  */
-void noteLoaded(WeightsState &Weights, const Digest &Set);
+void recordLoadedSet(WeightsState &Weights, const Digest &Set);
 
 /**
  * Sets the wanted version. The chunks of the previous one are kept until the
@@ -52,7 +52,7 @@
  * @param Weights State to change.
  * @param Wanted The published version.
  */
-void wantWeights(WeightsState &Weights, const ModelVersion &Wanted);
+void setWantedWeights(WeightsState &Weights, const ModelVersion &Wanted);
 
 /**
  * Drops the chunks of the previously wanted set, once the wanted one is loaded.
@@ -83,7 +83,7 @@
  * @param Taken False when the engine refused it or could not be reached.
  * @param Now Current time.
  */
-void orderEnded(WeightsState &Weights, bool Taken, TimePoint Now);
+void recordOrderEnd(WeightsState &Weights, bool Taken, TimePoint Now);
 
 /**
  * Records that it is unknown which chunks the engine loaded at the last order.
@@ -91,14 +91,14 @@
  * restarts.
  * @param Weights State to change.
  */
-void orderUnconfirmed(WeightsState &Weights);
+void markOrderUnconfirmed(WeightsState &Weights);
 
 /**
  * Records that the engine loaded the verified chunks. Nothing of earlier orders
  * is loaded then, and the engine refuses any that arrive later.
  * @param Weights State to change.
  */
-void orderConfirmed(WeightsState &Weights);
+void markOrderConfirmed(WeightsState &Weights);
 
 /**
  * Gives the set that the engine has loaded from verified chunks.
--- a/packages/core/src/wire/message_fields.h
+++ b/packages/core/src/wire/message_fields.h
@@ -32,7 +32,7 @@
   v("callers", m.CallerAddress);
 }
 
-template <typename V> void describe(V &v, EntrySeen &m) {
+template <typename V> void describe(V &v, EntryNotice &m) {
   v("name", m.Name);
   v("domain", m.Domain);
   v("at", m.LinkAddress);
@@ -52,7 +52,7 @@
   v("rate", m.BytesPerSecond);
   v("from_origin", m.BytesFromOrigin);
   v("from_peers", m.BytesFromPeers);
-  v("across", m.BytesAcross);
+  v("across", m.BytesFromOtherDomains);
 }
 
 template <typename V> void describe(V &v, LoadReport &m) {
@@ -60,28 +60,28 @@
   v("limit", m.Limit);
 }
 
-template <typename V> void describe(V &v, PlaceAsk &m) {
+template <typename V> void describe(V &v, SlotRequest &m) {
   v("place", m.SlotId);
   v("request", m.Request);
-  v("tenant", m.Tenant);
+  v("tenant", m.Workspace);
   v("rank", m.Rank);
   v("wait", m.WaitMillis);
   v("first_part", m.FirstPartMillis);
   v("prompt", m.PromptTokens);
-  v("most_reading", m.MaxReadingMillis);
+  v("most_reading", m.MaxPrefillBacklogMillis);
   v("spare", m.SpareOnly);
 }
 
-template <typename V> void describe(V &v, PlaceAnswer &m) {
+template <typename V> void describe(V &v, SlotAnswer &m) {
   v("place", m.SlotId);
   v("given", m.Granted);
   v("why", m.Why);
   v("retry_after", m.RetryAfterMillis);
-  v("reading", m.ReadingMillis);
+  v("reading", m.PrefillBacklogMillis);
   describe(v, m.Load);
 }
 
-template <typename V> void describe(V &v, PlaceDone &m) {
+template <typename V> void describe(V &v, SlotRelease &m) {
   v("place", m.SlotId);
   v("whole", m.IsComplete);
   v("sent", m.Sent);
@@ -114,7 +114,7 @@
   v("attempt", m.Attempt);
   v("request", m.Request);
   v("class", m.Class);
-  v("tenant", m.Tenant);
+  v("tenant", m.Workspace);
   v("body", m.Body);
   v("remaining", m.RemainingMillis);
   v("key", m.Key);
@@ -124,7 +124,7 @@
   v("alone", m.MustRunAlone);
 }
 
-template <typename V> void describe(V &v, AttemptBegun &m) {
+template <typename V> void describe(V &v, AttemptStarted &m) {
   v("attempt", m.Attempt);
   v("weights", m.Weights);
   describe(v, m.Load);
@@ -187,14 +187,14 @@
   v("coming", m.Imports);
 }
 
-template <typename V> void describe(V &v, ChunkListTold &m) {
+template <typename V> void describe(V &v, ChunkListNotice &m) {
   v("model", m.Model);
   v("version", m.Version);
   v("chunk_bytes", m.ChunkBytes);
   v("chunks", m.Chunks);
 }
 
-template <typename V> void describe(V &v, RateHeard &m) {
+template <typename V> void describe(V &v, RateLimitNotice &m) {
   v("place", m.SlotId);
   v("server", m.Server);
   v("per_second", m.PerSecond);
--- a/packages/core/src/wire/message_type.h
+++ b/packages/core/src/wire/message_type.h
@@ -61,7 +61,7 @@
   /** Bytes of verified chunks received from agents of the same domain. */
   uint64_t BytesFromPeers = 0;
   /** Bytes of verified chunks received from agents of other domains. */
-  uint64_t BytesAcross = 0;
+  uint64_t BytesFromOtherDomains = 0;
 };
 
 /** Sent by both sides of each link at a fixed period. */
@@ -94,7 +94,7 @@
   AttemptId Attempt;            ///< Globally unique; never reused.
   RequestId Request;            ///< Correlates log lines across hosts.
   ClassName Class;              ///< Class of the request.
-  TenantName Tenant;            ///< Workspace that the request belongs to.
+  WorkspaceName Workspace;            ///< Workspace that the request belongs to.
   std::string Body;             ///< Request body, unchanged.
   uint64_t RemainingMillis = 0; ///< Time left until the deadline when sent.
   IdempotencyKey Key;           ///< Idempotency key; empty: safe to repeat.
@@ -111,7 +111,7 @@
 };
 
 /** Reports that an attempt was sent to the back end. */
-struct AttemptBegun {
+struct AttemptStarted {
   AttemptId Attempt; ///< The attempt.
   Digest Weights;    ///< Weights that produce the answer; empty: none.
   LoadReport Load{}; ///< Load of the back end.
@@ -155,7 +155,7 @@
 };
 
 /** State of an attempt according to its agent. */
-enum class AttemptKnown : uint8_t { NeverSeen, Waiting, Running, Finished };
+enum class KnownAttemptState : uint8_t { NeverSeen, Waiting, Running, Finished };
 
 /**
  * Answer to AttemptQuery. The agent then resends the frames that the entry has
@@ -164,7 +164,7 @@
  */
 struct AttemptStatus {
   AttemptId Attempt;                            ///< The attempt.
-  AttemptKnown Known = AttemptKnown::NeverSeen; ///< State of the attempt.
+  KnownAttemptState Known = KnownAttemptState::NeverSeen; ///< State of the attempt.
   Incarnation Run; ///< Incarnation of the agent; 0: its records of ended
                    ///< attempts are incomplete, so NeverSeen may be wrong.
 };
@@ -199,7 +199,7 @@
  * Sends the chunk list of a version to an agent of the same domain, which then
  * need not read it from the origin.
  */
-struct ChunkListTold {
+struct ChunkListNotice {
   ModelName Model;            ///< Name of the model.
   std::string Version;        ///< Version of the model.
   uint64_t ChunkBytes = 0;    ///< Size of each chunk except the last.
@@ -227,7 +227,7 @@
  * list entries, they discover each other by these messages, starting from the
  * seed peers.
  */
-struct EntrySeen {
+struct EntryNotice {
   HostName Name;     ///< Name of the entry.
   DomainName Domain; ///< Failure domain of the entry.
   Address LinkAddress;        ///< Address that accepts links.
@@ -238,10 +238,10 @@
  * Requests a slot from the agent of a back end, for a request that the entry
  * then sends to the back end itself.
  */
-struct PlaceAsk {
+struct SlotRequest {
   AttemptId SlotId;         ///< Globally unique; never reused.
   RequestId Request;       ///< Correlates log lines across hosts.
-  TenantName Tenant;       ///< Workspace that the request belongs to.
+  WorkspaceName Workspace;       ///< Workspace that the request belongs to.
   uint32_t Rank = 0;       ///< Priority; 0 is the highest.
   uint64_t WaitMillis = 0; ///< Maximum wait for the slot.
   /** Time until the first part of the answer is due; 0: no limit. The agent
@@ -250,22 +250,22 @@
   uint32_t PromptTokens = 0; ///< Length of the prompt; 0: not known.
   /** Refuse unless the request can start at once and the prefill backlog is at
    * most this long; 0: no limit, and the request may wait. */
-  uint32_t MaxReadingMillis = 0;
+  uint32_t MaxPrefillBacklogMillis = 0;
   bool SpareOnly = false; ///< Only take a slot that no on-time request needs.
 };
 
-/** Answer to PlaceAsk, sent at once or after waiting in the queue. */
-struct PlaceAnswer {
+/** Answer to SlotRequest, sent at once or after waiting in the queue. */
+struct SlotAnswer {
   AttemptId SlotId;                     ///< Slot from the request.
   bool Granted = false;                  ///< The request may be sent now.
   ErrorKind Why = ErrorKind::Internal; ///< Reason of a refusal.
   uint64_t RetryAfterMillis = 0;       ///< Time until a slot may be free.
-  uint32_t ReadingMillis = 0;          ///< Prefill backlog of the back end.
+  uint32_t PrefillBacklogMillis = 0;          ///< Prefill backlog of the back end.
   LoadReport Load{};                   ///< Load of the back end.
 };
 
 /** Releases a slot, or withdraws the request for one. */
-struct PlaceDone {
+struct SlotRelease {
   AttemptId SlotId;              ///< Slot from the request.
   bool IsComplete = false;           ///< The answer is complete.
   bool Sent = false;            ///< The request reached the back end.
@@ -277,7 +277,7 @@
  * Reports the rate limit that a back end stated in an answer, to the agent of
  * the back end or to other entries.
  */
-struct RateHeard {
+struct RateLimitNotice {
   AttemptId SlotId;                 ///< Slot of the request; may be empty.
   InstanceId Server;               ///< Back end that the limit applies to.
   std::optional<double> PerSecond; ///< Requests/s; nullopt: none was stated.
@@ -298,11 +298,11 @@
 /** Any message; the order gives the index into MessageNames. */
 using Message =
     std::variant<Hello, Heartbeat, ConfigPull, ConfigPush, AttemptStart,
-                 AttemptBegun, AnswerFrame, AnswerEnd, AttemptFailed,
+                 AttemptStarted, AnswerFrame, AnswerEnd, AttemptFailed,
                  AttemptCancel, AttemptQuery, AttemptStatus, ChunkRequest,
-                 ChunkData, ChunkHave, SuspectNotice, LeavingNotice, EntrySeen,
-                 PlaceAsk, PlaceAnswer, PlaceDone, ChunkListTold, Ping, Pong,
-                 RateHeard>;
+                 ChunkData, ChunkHave, SuspectNotice, LeavingNotice, EntryNotice,
+                 SlotRequest, SlotAnswer, SlotRelease, ChunkListNotice, Ping, Pong,
+                 RateLimitNotice>;
 
 } // namespace jacinthpond
 
--- a/packages/entry/src/admin_api.cpp
+++ b/packages/entry/src/admin_api.cpp
@@ -35,14 +35,14 @@
       std::ranges::count_if(Entry.Fleet.Links, [](const auto &Row) {
         const PeerLink &Link = Row.second;
         return Link.State == LinkState::Ready &&
-               Link.Peer.Sender == Role::Agent && takesWork(Link.Load);
+               Link.Peer.Sender == Role::Agent && canTakeWork(Link.Load);
       });
   const auto Behind =
       std::ranges::count_if(Entry.Fleet.Links, [&](const auto &Row) {
         return Row.second.State == LinkState::Ready &&
                Row.second.Version < versionInForce(Entry.View);
       });
-  return {{"fresh", viewIsFresh(Entry.Fleet)},
+  return {{"fresh", isViewFresh(Entry.Fleet)},
           {"links", Entry.Fleet.Links.size()},
           {"links_behind", Behind},
           {"reader", isReader(Entry.View, Entry.Fleet)},
@@ -65,16 +65,16 @@
                                 const httplib::Request &Req) {
   if (Req.has_param("class")) {
     const ClassName Class{Req.get_param_value("class")};
-    if (!seesClass(Access, Class))
+    if (!canSeeClass(Access, Class))
       return fail(ErrorKind::Forbidden, "class of another team");
     Access.Operator = false;
     Access.Classes = {Class};
   }
   if (Req.has_param("tenant")) {
-    const TenantName Tenant{Req.get_param_value("tenant")};
-    if (!seesTenant(Access, Tenant))
+    const WorkspaceName Workspace{Req.get_param_value("tenant")};
+    if (!canSeeWorkspace(Access, Workspace))
       return fail(ErrorKind::Forbidden, "tenant of another team");
-    Access.Tenants = {Tenant};
+    Access.Workspaces = {Workspace};
   }
   return Access;
 }
@@ -110,7 +110,7 @@
     if (const Forwarder *Routes = Shell.routes())
       std::ranges::move(routeMetrics(*Routes), std::back_inserter(All));
     const DocumentPtr Doc = Shell.document();
-    Res.set_content(metricsText(visibleTo(
+    Res.set_content(metricsText(filterVisibleMetrics(
                         All, Doc.get(), Req.get_header_value("Authorization"))),
                     "text/plain; version=0.0.4");
   });
@@ -144,7 +144,7 @@
             }
             const DocumentPtr InForce = Shell.document();
             sendJson(Res,
-                     changeJson(changeOf(InForce.get(), **Candidate.Value)));
+                     changeJson(compareDocuments(InForce.get(), **Candidate.Value)));
           }));
 }
 
@@ -152,7 +152,7 @@
                                               bool OperatorsOnly) {
   const DocumentPtr Doc = Shell.document();
   BOOST_LEAF_AUTO(Access,
-                  accessOf(Doc.get(), Req.get_header_value("Authorization")));
+                  authenticateTeam(Doc.get(), Req.get_header_value("Authorization")));
   if (OperatorsOnly && !Access.Operator)
     return fail(ErrorKind::Forbidden, "for operators");
   return narrowAccess(std::move(Access), Req);
@@ -175,7 +175,7 @@
     // Neither headers nor query are logged: both can contain a token.
     logLine(LogPart::Admin, LogLevel::Warn,
             "Refused " + std::string(Path) + " to " + Req.remote_addr + ": " +
-                answerFor(Access.Why.Kind).Name + ".");
+                errorAnswerFor(Access.Why.Kind).Name + ".");
     writeError(Res, Access.Why, Ran::No, {});
   };
 }
--- a/packages/entry/src/caller_api.cpp
+++ b/packages/entry/src/caller_api.cpp
@@ -61,13 +61,13 @@
   CallRequest Call;
   Call.Request = makeRequestId();
   Call.Class.Value = Req.matches[1];
-  Call.Tenant.Value = Req.get_header_value("X-Tenant");
+  Call.Workspace.Value = Req.get_header_value("X-Tenant");
   Call.Key.Value = Req.get_header_value("Idempotency-Key");
   Call.Token = Req.get_header_value("X-Home-Token");
   Call.Body = Req.body;
-  if (Call.Tenant.Value.empty())
+  if (Call.Workspace.Value.empty())
     return fail(ErrorKind::BadRequest, "header X-Tenant is missing");
-  const std::array Names = {&Call.Tenant.Value, &Call.Key.Value,
+  const std::array Names = {&Call.Workspace.Value, &Call.Key.Value,
                             &Call.Class.Value};
   if (std::ranges::any_of(
           Names, [](const auto *One) { return One->size() > MaxNameBytes; }))
@@ -118,7 +118,7 @@
           [&](const CallError &e) {
             Final = true;
             return formatSseEvent(
-                "error", errorBody(e.Why, e.Executed, Request, e.Elsewhere));
+                "error", errorBody(e.Why, e.Executed, Request, e.AlternativeEntries));
           }},
       Event);
 }
@@ -128,7 +128,7 @@
 public:
   /** Starts to measure a call that is about to be submitted. */
   CallTimer(EntryShell &Entry, const CallRequest &Call)
-      : Shell(Entry), Doc(Entry.document()), Tenant(Call.Tenant),
+      : Shell(Entry), Doc(Entry.document()), Workspace(Call.Workspace),
         Class(Call.Class), Request(Call.Request),
         StartTime(Entry.clock().now()) {}
 
@@ -141,7 +141,7 @@
                           },
                           [this](const CallError &e) {
                             logOutcome(LogLevel::Info,
-                                       std::string(answerFor(e.Why.Kind).Name) +
+                                       std::string(errorAnswerFor(e.Why.Kind).Name) +
                                            ", ran " +
                                            std::string(ranName(e.Executed)));
                           }},
@@ -151,7 +151,7 @@
 private:
   /** Adds the time since From to a histogram. */
   void observe(Timing What, TimePoint From) {
-    Shell.timings().observe(What, Doc.get(), Tenant, Class,
+    Shell.timings().observe(What, Doc.get(), Workspace, Class,
                             Shell.clock().now() - From);
   }
 
@@ -172,7 +172,7 @@
 
   EntryShell &Shell;
   DocumentPtr Doc; ///< In force when the call arrived; limits the labels.
-  TenantName Tenant;
+  WorkspaceName Workspace;
   ClassName Class;
   RequestId Request;
   TimePoint StartTime;
@@ -186,7 +186,7 @@
   if (!Error.Token.empty())
     Res.set_header("X-Home-Token", Error.Token);
   Res.set_header("X-Request-Id", Request.Value);
-  writeError(Res, Error.Why, Error.Executed, Request, Error.Elsewhere);
+  writeError(Res, Error.Why, Error.Executed, Request, Error.AlternativeEntries);
 }
 
 /** Waits for the whole answer and writes it. @return False when the caller
@@ -350,7 +350,7 @@
   Json Body = {{"entries", Json::array()},
                {"keep_ms", Config.AddressKeepMillis}};
   Shell.inspect([&](const EntryState &Entry, TimePoint) {
-    for (const Address &At : addressesFor(Entry, Req.remote_addr))
+    for (const Address &At : entryAddressesFor(Entry, Req.remote_addr))
       Body["entries"].push_back(At.Value);
   });
   Res.set_content(Body.dump(), "application/json");
--- a/packages/entry/src/entry_shell.cpp
+++ b/packages/entry/src/entry_shell.cpp
@@ -40,16 +40,16 @@
       Service(Service), Hosts(Hosts), Routes(Routes),
       Links({[this](LinkId Link) {
                post([this, Link](TimePoint Now, Effects &Out) {
-                 entryLinkOpened(State, Link, Now, Out);
+                 handleEntryLinkOpened(State, Link, Now, Out);
                });
              },
              [this](LinkId Link) {
                post([this, Link](TimePoint Now, Effects &Out) {
-                 entryLinkClosed(State, Link, Now, Out);
+                 handleEntryLinkClosed(State, Link, Now, Out);
                });
              },
              [this](LinkId Link, Message m) {
-               if (const auto *Answer = std::get_if<PlaceAnswer>(&m)) {
+               if (const auto *Answer = std::get_if<SlotAnswer>(&m)) {
                  if (this->Routes != nullptr)
                    this->Routes->handleSlotAnswer(Link, *Answer);
                  return;
@@ -59,14 +59,14 @@
                    this->Routes->handlePong(Link);
                  return;
                }
-               if (const auto *RateNotice = std::get_if<RateHeard>(&m)) {
+               if (const auto *RateNotice = std::get_if<RateLimitNotice>(&m)) {
                  if (this->Routes != nullptr)
                    this->Routes->handleRateNotice(*RateNotice);
                  return;
                }
                post([this, Link, Kept = std::move(m)](TimePoint Now,
                                                       Effects &Out) {
-                 entryMessage(State, Link, Kept, Now, Out);
+                 handleEntryMessage(State, Link, Kept, Now, Out);
                });
              },
              [this](LinkId Link, const Failure &Why) {
@@ -76,7 +76,7 @@
                        "Closing link after an unreadable frame: " + Why.Detail);
                Links.close(Link);
                post([this, Link](TimePoint Now, Effects &Out) {
-                 entryLinkClosed(State, Link, Now, Out);
+                 handleEntryLinkClosed(State, Link, Now, Out);
                });
              }}) {
   if (Routes != nullptr)
@@ -84,7 +84,7 @@
         [this](LinkId Link, const Message &m) { Links.send(Link, m); },
         [this](const Message &m) {
           post([this, m](TimePoint, Effects &Out) {
-            spreadNotice(State.Fleet, m, Role::Entry, Out);
+            broadcastNotice(State.Fleet, m, Role::Entry, Out);
           });
         });
 }
@@ -111,7 +111,7 @@
   Control = std::thread([this] {
     Loop.run(TickPeriod, [this](TimePoint Now) {
       Effects Out;
-      entryTick(State, Now, Out);
+      handleEntryTick(State, Now, Out);
       updateSharedDocument();
       updateForwarder(Now);
       performEffects(std::move(Out));
@@ -144,7 +144,7 @@
 void EntryShell::updateForwarder(TimePoint Now) {
   if (Routes == nullptr)
     return;
-  std::vector<AgentNews> Reports = newsOfAgents(State, LastAgentReports);
+  std::vector<AgentReport> Reports = collectAgentReports(State, LastAgentReports);
   if (!Reports.empty())
     Routes->handleAgentReports(std::move(Reports));
   FleetSnapshot Fleet = fleetSnapshot(State, Now);
@@ -186,8 +186,8 @@
                                  [this] { return StopThreads.load(); });
 }
 
-std::optional<ReadTurn> EntryShell::planNextRead(uint64_t Salt) {
-  const auto Promise = std::make_shared<std::promise<ReadTurn>>();
+std::optional<ReadPlan> EntryShell::planNextRead(uint64_t Salt) {
+  const auto Promise = std::make_shared<std::promise<ReadPlan>>();
   Loop.post([this, Promise, Salt](TimePoint) {
     Promise->set_value(nextRead(State.View, State.Fleet, Salt));
   });
@@ -210,7 +210,7 @@
     const Outcome<std::string> Read = outcomeOf(
         [&] { return Service.watch(Plan->After, Plan->InForce, Plan->Wait); });
     post([this, Read, ReadStart](TimePoint Now, Effects &Out) {
-      entryConfigRead(State, Read, ReadStart, Now, Out);
+      handleEntryConfigRead(State, Read, ReadStart, Now, Out);
     });
   }
 }
@@ -235,7 +235,7 @@
     // After a failed read the last list is kept: a host that is leaving stays
     // so.
     post([this, Leaving](TimePoint Now, Effects &Out) {
-      entryHostsRead(State, Leaving, Now, Out);
+      handleEntryHostList(State, Leaving, Now, Out);
     });
   }
 }
@@ -243,7 +243,7 @@
 std::shared_ptr<CallChannel> EntryShell::submitCall(CallRequest &Request) {
   auto Channel = Callers.open(Request.Call);
   post([this, Request](TimePoint Now, Effects &Out) {
-    entryCall(State, Request, Now, Out);
+    startCall(State, Request, Now, Out);
   });
   return Channel;
 }
@@ -252,7 +252,7 @@
   Callers.close(Id);
   if (!Finished)
     post(
-        [this, Id](TimePoint, Effects &Out) { entryCallGone(State, Id, Out); });
+        [this, Id](TimePoint, Effects &Out) { cancelCall(State, Id, Out); });
 }
 
 void EntryShell::inspect(
@@ -272,7 +272,7 @@
   if (Routes != nullptr)
     Routes->beginLeaving();
   const TimePoint StartTime = Clock.now();
-  const Millis TimeLimit = shutdownTime(State.Config, EndMargin);
+  const Millis TimeLimit = maxShutdownTime(State.Config, EndMargin);
   const TimePoint Limit = StartTime + TimeLimit;
   // A channel is closed only once its answer was written to the caller's
   // socket, which is later than the last event of the call. The listener stays
@@ -281,7 +281,7 @@
   const Millis Notice =
       std::min(Millis(State.Config.LeaveNoticeMillis), TimeLimit * 3 / 4);
   post([this, Notice](TimePoint Now, Effects &Out) {
-    entryStop(State, Now, Notice, Out);
+    beginEntryShutdown(State, Now, Notice, Out);
   });
   // Requests that arrive in the second half of the notice period might not be
   // answered before the process ends, so they are refused as not run.
@@ -294,7 +294,7 @@
   logLine(LogPart::Main, LogLevel::Error,
           "Shutdown cut off " + std::to_string(countOpenRequests()) +
               " requests.");
-  post([this](TimePoint, Effects &Out) { entryCutOff(State, Out); });
+  post([this](TimePoint, Effects &Out) { endAllCalls(State, Out); });
   waitForOpenRequests(StartTime, Clock.now() + LastErrorWait);
   return false;
 }
--- a/packages/entry/src/entry_shell.h
+++ b/packages/entry/src/entry_shell.h
@@ -127,7 +127,7 @@
    * @param Salt Varies the jitter.
    * @return The plan; nothing when the threads stop.
    */
-  std::optional<ReadTurn> planNextRead(uint64_t Salt);
+  std::optional<ReadPlan> planNextRead(uint64_t Salt);
   /** Waits for Time. @return False when the threads stop before that. */
   bool waitUnlessStopped(Millis Time);
   /** Runs Work on the control thread and carries out the effects it adds. */
@@ -149,7 +149,7 @@
   HostsPort *Hosts;
   Forwarder *Routes;         ///< Null where no routes are served.
   FleetSnapshot LastFleet;   ///< Last snapshot passed to Routes.
-  ToldNews LastAgentReports; ///< Last reports passed to Routes.
+  PassedAgentReports LastAgentReports; ///< Last reports passed to Routes.
   CallTable Callers;         ///< Channels of open calls.
   TrafficMetrics Timings;
   std::mutex SharedDocumentGuard;   ///< Guards SharedDocument.
--- a/packages/entry/src/forward/exchange.cpp
+++ b/packages/entry/src/forward/exchange.cpp
@@ -135,7 +135,7 @@
           parseNumber(fieldValue(Incoming, Shared.Wire.headerNames().LastEventId)))
     Events.LastId = static_cast<uint64_t>(*Last);
   armTimer();
-  countFirst(Shared.Repeats, Needs.Service, ArrivalTime);
+  countFirstAttempt(Shared.Repeats, Needs.Service, ArrivalTime);
   tryNextServer();
 }
 
@@ -163,9 +163,9 @@
 /** Finds the workspace of the caller's key; if a key is required and unknown,
  * ends the request. */
 bool Exchange::authenticateCaller() {
-  if (!Shared.Index.KeysWanted)
+  if (!Shared.Index.KeysRequired)
     return true;
-  Owner = matchTenant(Shared.Index, fieldValue(Incoming, "Authorization"));
+  Owner = matchWorkspace(Shared.Index, fieldValue(Incoming, "Authorization"));
   if (Owner != nullptr || RequestRoute->Anonymous)
     return true;
   endWithError({ErrorKind::Unauthorized, "", {}}, Ran::No, "unknown_key");
@@ -214,20 +214,20 @@
                      "no_attempt_left");
     return;
   }
-  if (!mayAskMore(Search)) {
+  if (!mayRequestMoreSlots(Search)) {
     endWithoutServer({ErrorKind::Overloaded, "no place", ShortestRetryAfter},
                      "no_place");
     return;
   }
   ServerChoice Choice = chooseServer(Shared.Pool, Needs, Now);
-  if (Choice.Server == nullptr && takeBusyOnes(Search, Needs))
+  if (Choice.Server == nullptr && reconsiderBusyServers(Search, Needs))
     Choice = chooseServer(Shared.Pool, Needs, Now);
   if (Choice.Server == nullptr) {
     handleNoServer(Choice);
     return;
   }
   if (AttemptsSent > 0) {
-    if (!mayRepeat(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now)) {
+    if (!takeRepeat(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now)) {
       endWithoutServer({ErrorKind::Overloaded, "retry budget used up", {}},
                        "retry_budget");
       return;
@@ -238,7 +238,7 @@
   }
   logAttempt(*Choice.Server, Choice);
   ServerId = Choice.Server->Listed.Id;
-  attemptOpened(Shared.Pool, ServerId);
+  recordAttemptStart(Shared.Pool, ServerId);
   if (hasAgent(*Choice.Server))
     requestSlot(*Choice.Server);
   else
@@ -262,16 +262,16 @@
   const TimePoint Now = Shared.Clock.now();
   const HeaderNames &Names = Shared.Wire.headerNames();
   if (CurrentSlot.Value.empty())
-    sentPastAgent(Shared.Pool, ServerId, Now);
+    countRequestWithoutSlot(Shared.Pool, ServerId, Now);
   AttemptHeaders Added;
   Added.Remaining = toMillis(RequestDeadline - Now);
   Added.Server = Server.Listed.Id;
-  Added.Version = versionToDemand(Shared.Pool, ServerId, Now);
+  Added.Version = requiredVersion(Shared.Pool, ServerId, Now);
   if (HeadSent) { // A stream resumes on the weights that began it.
     Added.Version = fieldValue(Head, Names.WeightVersion);
     Added.LastEventId = Events.LastId;
   }
-  Added.Tenant = Owner == nullptr ? "" : Owner->Name.Value;
+  Added.Workspace = Owner == nullptr ? "" : Owner->Name.Value;
   Added.Rank = rank();
   BackEndRequest Sending;
   Sending.To = Server.Listed.At;
@@ -283,7 +283,7 @@
   // use a new connection: one more round trip, but no lost bookings.
   Sending.ForceNewConnection = ForceNewConnection || !isRepeatable();
   Sending.NoResponseBody = Incoming.method() == http::verb::head;
-  Sending.MaxIdle = connectionsToKeep(Shared.Pool, Server.Listed.Service);
+  Sending.MaxIdle = maxIdleConnections(Shared.Pool, Server.Listed.Service);
   Mode = AnswerMode::Waiting;
   Body.clear();
   dropPartialEvent(Events);
@@ -311,7 +311,7 @@
   if (!Open)
     return;
   Call.reset();
-  attemptClosed(Shared.Pool, ServerId, WasSent ? How : AttemptEnd::NotSent,
+  recordAttemptEnd(Shared.Pool, ServerId, WasSent ? How : AttemptEnd::NotSent,
                 Now - CallStartTime, Now);
 }
 
@@ -322,7 +322,7 @@
     if (Why.Kind == ErrorKind::Overloaded)
       Why.RetryAfter = std::max(
           retryAfter(Why),
-          toMillis(awayToBeKnown(Shared.CallerDeadlines, *RequestRoute)));
+          toMillis(recognizableRetryDelay(Shared.CallerDeadlines, *RequestRoute)));
     endWithError(Why, Ran::No, Reason);
     return;
   }
@@ -337,7 +337,7 @@
   if (Call)
     Call->cancel();
   concludeAttempt(AttemptEnd::Dropped);
-  const ErrorAnswer &Row = answerFor(Why.Kind);
+  const ErrorAnswer &Row = errorAnswerFor(Why.Kind);
   const auto Status = static_cast<unsigned>(Row.HttpStatus);
   Shared.Counters.add(Executed == Ran::No ? ForwardCount::Refused
                                           : ForwardCount::Failed);
@@ -351,7 +351,7 @@
   CallerAnswer Out;
   Out.result(Status);
   Out.set(http::field::content_type, "application/json");
-  const Millis RetryDelay = comeBackAfter(
+  const Millis RetryDelay = spreadRetryAfter(
       Why, RequestDeadline - Shared.Clock.now(), Shared.Pool.Random);
   const bool MayRetry = Executed == Ran::No && (Status == 503 || Status == 429);
   if (MayRetry && RetryDelay.count() > 0)
--- a/packages/entry/src/forward/exchange_answer.cpp
+++ b/packages/entry/src/forward/exchange_answer.cpp
@@ -37,7 +37,7 @@
   }
   const std::string_view Value = fieldValue(Received, *it);
   const size_t Times = Received.count(*it);
-  const auto PerSecond = Shared.Wire.rateLimitOf(Value);
+  const auto PerSecond = Shared.Wire.parseRateLimit(Value);
   if (PerSecond && Times == 1)
     applyRateLimit(PerSecond, *it + ":" + std::string(Value));
   else
@@ -54,13 +54,13 @@
                               std::string_view Field) {
   const TimePoint Now = Shared.Clock.now();
   const RateChange Change =
-      rateHeard(Shared.Pool, ServerId, PerSecond, CallStartTime, Now);
+      recordAnswerRate(Shared.Pool, ServerId, PerSecond, CallStartTime, Now);
   logRateChange(Change, Field);
   const auto it = Shared.Pool.Servers.find(ServerId);
   if (it == Shared.Pool.Servers.end())
     return;
   const Millis Age = PerSecond ? Millis(0) : toMillis(Now - CallStartTime);
-  const RateHeard Notice{CurrentSlot, ServerId, PerSecond,
+  const RateLimitNotice Notice{CurrentSlot, ServerId, PerSecond,
                          static_cast<uint64_t>(Age.count())};
   if (hasAgent(it->second))
     Shared.SendToAgent(it->second.Agent->Link, Notice);
@@ -73,9 +73,9 @@
   const TimePoint Now = Shared.Clock.now();
   const HeaderNames &Names = Shared.Wire.headerNames();
   LastProgress = Now;
-  serverHeard(Shared.Pool, ServerId, Now);
-  if (const auto Busy = Shared.Wire.busyOf(fieldValue(Received, Names.Load)))
-    loadTold(Shared.Pool, ServerId, *Busy, Now);
+  recordServerActivity(Shared.Pool, ServerId, Now);
+  if (const auto Busy = Shared.Wire.parseServerLoad(fieldValue(Received, Names.Load)))
+    recordServerLoad(Shared.Pool, ServerId, *Busy, Now);
   const unsigned Status = Received.result_int();
   const bool Misdirected = Status == 421; // Another run may have the address.
   const bool NotRun = !fieldValue(Received, Names.NotExecuted).empty();
@@ -85,7 +85,7 @@
     readRateLimit(Received, Success && Signed);
   if (Misdirected || NotRun) {
     if (Misdirected) {
-      serverMisjudged(Shared.Pool, ServerId, Now);
+      avoidMismatchedServer(Shared.Pool, ServerId, Now);
       Shared.Counters.add(ForwardCount::Mismatched);
     }
     Mode = AnswerMode::Refusal;
@@ -110,7 +110,7 @@
 /** Buffers a part of a body or streams its complete events to the caller. */
 void Exchange::handleAnswerBody(std::string Bytes) {
   LastProgress = Shared.Clock.now();
-  serverHeard(Shared.Pool, ServerId, LastProgress);
+  recordServerActivity(Shared.Pool, ServerId, LastProgress);
   if (Mode == AnswerMode::Refusal)
     return;
   if (Mode == AnswerMode::Whole) {
@@ -121,14 +121,14 @@
   }
   const auto Self = shared_from_this();
   std::string Whole;
-  const EventVerdict Verdict = putEvents(Events, Bytes, Whole);
+  const EventStreamStatus Verdict = appendCompleteEvents(Events, Bytes, Whole);
   if (!Whole.empty()) {
     if (!HeadSent)
       beginStream();
     Session->sendBody(Whole);
     LastSentToCaller = LastProgress;
   }
-  if (Verdict != EventVerdict::Good)
+  if (Verdict != EventStreamStatus::Good)
     abandonAnswer();
   else if (Session && Session->backlog() > MaxCallerBacklogBytes)
     endWithError({ErrorKind::PartialAnswer, "the caller does not read", {}},
@@ -138,9 +138,9 @@
 /** Sends the head of a stream to the caller. */
 void Exchange::beginStream() {
   HeadSent = true;
-  Needs.Weights = weightsAt(Shared.Pool, ServerId);
+  Needs.Weights = loadedWeights(Shared.Pool, ServerId);
   FirstByteTime = Shared.Clock.now();
-  firstPartCame(Shared.Pool, Needs.Service, *FirstByteTime - CallStartTime);
+  recordFirstPartTime(Shared.Pool, Needs.Service, *FirstByteTime - CallStartTime);
   CallerAnswerHead Out;
   Out.result(Head.result());
   copyAnswerHeaders(Head, Out);
@@ -209,7 +209,7 @@
   ServerNeeds Other = Needs;
   Other.Tried.insert(ServerId);
   return chooseServer(Shared.Pool, Other, Now).Server != nullptr &&
-         repeatsLeft(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now);
+         hasRepeatsLeft(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now);
 }
 
 /** Cancels the call, since its response is unusable or has stalled. */
--- a/packages/entry/src/forward/exchange_log.cpp
+++ b/packages/entry/src/forward/exchange_log.cpp
@@ -51,13 +51,13 @@
 void Exchange::logAttempt(const ServerView &Server,
                           const ServerChoice &Choice) const {
   const TimePoint Now = Shared.Clock.now();
-  const WantedWeights *Wanted = wantedAt(Shared.Pool, Server);
+  const WantedWeights *Wanted = wantedWeightsFor(Shared.Pool, Server);
   logLine(LogPart::Requests, LogLevel::Info,
           "event=attempt id=" + logValue(Id) +
               " n=" + std::to_string(AttemptsSent + 1) + " server=" +
               Server.Listed.Id.Value + " at=" + Server.Listed.At.Value +
               " open=" + std::to_string(Server.Open) +
-              " others=" + std::to_string(Server.OtherWork) +
+              " others=" + std::to_string(Server.OtherRequests) +
               " told_ms=" + millisSince(Server.LoadReportedAt, Now) + " left_ms=" +
               std::to_string(toMillis(RequestDeadline - Now).count()) +
               " caller_age_ms=" + std::to_string(toMillis(CallerAge).count()) +
@@ -69,7 +69,7 @@
                    ? "-"
                    : millisSince(*Wanted->PublishedAfter, Now)) +
               " agent=" + (hasAgent(Server) ? "yes" : "no") +
-              " rate=" + rateText(Server.Rate) + " rate_ms=" +
+              " rate=" + formatRateLimit(Server.Rate) + " rate_ms=" +
               (Server.Rate.PerSecond ? millisSince(Server.Rate.LimitSeenAt, Now)
                                      : "-"));
 }
@@ -84,14 +84,14 @@
       LogPart::Requests, LogLevel::Info,
       "event=rate_limit id=" + logValue(Id) + " server=" + ServerId.Value +
           " per_second=" +
-          (it == Shared.Pool.Servers.end() ? "-" : rateText(it->second.Rate)) +
+          (it == Shared.Pool.Servers.end() ? "-" : formatRateLimit(it->second.Rate)) +
           " field=" + logValue(Header));
 }
 
 /** Logs an attempt that got no usable response. */
 void Exchange::logAttemptEnd(AttemptEnd How, Duration Took) const {
   const TimePoint Now = Shared.Clock.now();
-  const auto UnresponsiveFrom = standsStillFrom(Shared.Pool, ServerId);
+  const auto UnresponsiveFrom = unresponsiveFrom(Shared.Pool, ServerId);
   logLine(
       LogPart::Requests, LogLevel::Info,
       "event=attempt_end id=" + logValue(Id) +
@@ -101,7 +101,7 @@
           " status=" +
           std::to_string(Mode == AnswerMode::Waiting ? 0 : Head.result_int()) +
           " ms=" + std::to_string(toMillis(Took).count()) +
-          " heard_ms=" + millisSince(lastHeard(Shared.Pool, ServerId), Now) +
+          " heard_ms=" + millisSince(lastActivityTime(Shared.Pool, ServerId), Now) +
           " unanswered_ms=" +
           (UnresponsiveFrom ? millisSince(*UnresponsiveFrom, Now)
                             : std::string("-")) +
--- a/packages/entry/src/forward/exchange_place.cpp
+++ b/packages/entry/src/forward/exchange_place.cpp
@@ -36,11 +36,11 @@
 /** Asks the agent of a back end for a slot there. */
 void Exchange::requestSlot(const ServerView &Server) {
   const TimePoint Now = Shared.Clock.now();
-  PlaceAsk Ask;
+  SlotRequest Ask;
   Ask.SlotId.Value =
       Shared.SlotIdPrefix + std::to_string(Shared.NextSlotNumber++);
   Ask.Request.Value = logValue(Id);
-  Ask.Tenant = Owner == nullptr ? TenantName{} : Owner->Name;
+  Ask.Workspace = Owner == nullptr ? WorkspaceName{} : Owner->Name;
   // A stream to resume goes first: its caller has a part of it already.
   Ask.Rank = HeadSent ? 0 : rank();
   Millis Wait = HeadSent ? RequestRoute->GapTarget : firstPartTimeLeft(Now);
@@ -48,43 +48,43 @@
     Ask.FirstPartMillis = static_cast<uint64_t>(Wait.count());
   if (!HeadSent && Wait.count() == 0) { // The target is missed in any case.
     Ask.SpareOnly = true;
-    Wait = lateWait(nextPartDeadline() - Now);
-    takeBusyOnes(Search, Needs); // It need not start at once.
+    Wait = lateRequestWait(nextPartDeadline() - Now);
+    reconsiderBusyServers(Search, Needs); // It need not start at once.
   }
   Ask.WaitMillis = static_cast<uint64_t>(Wait.count());
-  Ask.PromptTokens = Shared.Wire.promptTokens(
+  Ask.PromptTokens = Shared.Wire.parsePromptTokens(
       fieldValue(Incoming, Shared.Wire.headerNames().TokenCounts));
-  const Millis MostReading = mostReading(Search);
-  Ask.MaxReadingMillis = static_cast<uint32_t>(MostReading.count());
-  placeAsked(Search);
+  const Millis MaxBacklogToRequest = maxPrefillBacklog(Search);
+  Ask.MaxPrefillBacklogMillis = static_cast<uint32_t>(MaxBacklogToRequest.count());
+  recordSlotRequest(Search);
   SlotAnswerDeadline =
       Now + std::clamp(RequestRoute->Target / AgentAnswerFraction,
                        MinAgentAnswerTime, MaxAgentAnswerTime);
-  if (MostReading.count() == 0)
+  if (MaxBacklogToRequest.count() == 0)
     SlotAnswerDeadline += Wait; // It may wait in the agent's queue.
   CurrentSlot = Ask.SlotId;
   SlotAgentLink = Server.Agent->Link;
   AwaitingSlot = true;
   Shared.SlotWaiters[CurrentSlot] = weak_from_this();
-  if (const auto Notice = rateToTell(Server, Now))
+  if (const auto Notice = rateNoticeForAgent(Server, Now))
     Shared.SendToAgent(SlotAgentLink, *Notice);
   Shared.SendToAgent(SlotAgentLink, Ask);
-  const bool First = hostAsked(Shared.Pool, ServerId, Now);
-  if (First && (Ask.SpareOnly || MostReading.count() == 0))
+  const bool First = recordHostProbe(Shared.Pool, ServerId, Now);
+  if (First && (Ask.SpareOnly || MaxBacklogToRequest.count() == 0))
     Shared.SendToAgent(SlotAgentLink, Ping{}); // The slot may take a while.
   armTimer();
 }
 
 /** Sends the request if the agent granted the slot and the back end may still
  * be used, else tries another back end. */
-void Exchange::handleSlotAnswer(const PlaceAnswer &Answer) {
+void Exchange::handleSlotAnswer(const SlotAnswer &Answer) {
   const auto Self = shared_from_this();
   const TimePoint Now = Shared.Clock.now();
   if (!Session || !AwaitingSlot || Answer.SlotId != CurrentSlot)
     return;
   AwaitingSlot = false;
-  loadTold(Shared.Pool, ServerId, Answer.Load.Busy, Now);
-  readingTold(Shared.Pool, ServerId, Millis(Answer.ReadingMillis));
+  recordServerLoad(Shared.Pool, ServerId, Answer.Load.Busy, Now);
+  recordPrefillBacklog(Shared.Pool, ServerId, Millis(Answer.PrefillBacklogMillis));
   if (Answer.Granted && mayStillUse(Shared.Pool, ServerId, Needs, Now)) {
     sendTo(Shared.Pool.Servers.at(ServerId));
     return;
@@ -94,7 +94,7 @@
     const Millis Room(static_cast<int64_t>(Answer.RetryAfterMillis));
     if (Answer.Why == ErrorKind::RateLimited) {
       Shared.Counters.add(ForwardCount::RateRefused);
-      rateRefused(Shared.Pool, ServerId, Room, Now);
+      recordRateRefusal(Shared.Pool, ServerId, Room, Now);
     } else if (Room.count() > 0) {
       ShortestRetryAfter = ShortestRetryAfter.count() == 0
                                ? Room
@@ -106,16 +106,16 @@
 
 /** Tries another back end, since the agent did not answer in time. */
 void Exchange::handleSlotTimeout() {
-  agentSilent(Shared.Pool, ServerId, Shared.Clock.now());
+  markAgentSilent(Shared.Pool, ServerId, Shared.Clock.now());
   tryOtherServer(false);
 }
 
 /** Gives up the slot at this back end and tries another back end. */
 void Exchange::tryOtherServer(bool OnlyBusy) {
   releaseSlot(AttemptEnd::Dropped);
-  attemptClosed(Shared.Pool, ServerId, AttemptEnd::NotSent, {},
+  recordAttemptEnd(Shared.Pool, ServerId, AttemptEnd::NotSent, {},
                 Shared.Clock.now());
-  placeRefused(Search, Needs, ServerId, OnlyBusy);
+  recordSlotRefusal(Search, Needs, ServerId, OnlyBusy);
   tryNextServer();
 }
 
@@ -125,7 +125,7 @@
   if (CurrentSlot.Value.empty())
     return;
   Shared.SlotWaiters.erase(CurrentSlot);
-  PlaceDone Done;
+  SlotRelease Done;
   Done.SlotId = CurrentSlot;
   Done.IsComplete = How == AttemptEnd::Answered;
   Done.Sent = Call != nullptr && Call->hasSent();
--- a/packages/entry/src/forward/exchange_silence.cpp
+++ b/packages/entry/src/forward/exchange_silence.cpp
@@ -44,7 +44,7 @@
     Next = std::min(Next, SlotAnswerDeadline);
   if (Call && isRepeatable())
     Next = std::min(Next, nextCheckTime(Now));
-  const auto UnresponsiveFrom = standsStillFrom(Shared.Pool, ServerId);
+  const auto UnresponsiveFrom = unresponsiveFrom(Shared.Pool, ServerId);
   if ((AwaitingSlot || Call) && UnresponsiveFrom && *UnresponsiveFrom > Now)
     Next = std::min(Next, *UnresponsiveFrom);
   if (const auto StartDeadline = attemptStartDeadline())
@@ -75,14 +75,14 @@
     return RequestRoute->GapTarget;
   return std::min<Duration>(
       RequestRoute->Target,
-      usualFirstPart(Shared.Pool, Needs.Service, RequestRoute->Target));
+      usualFirstPartTime(Shared.Pool, Needs.Service, RequestRoute->Target));
 }
 
 /** Pings the host of a back end that has been silent for a while. */
 void Exchange::pingSilentHost(TimePoint Now) {
   const bool Quiet = Now - LastProgress >= silenceBeforePing();
   if (Quiet && !CurrentSlot.Value.empty() &&
-      hostAsked(Shared.Pool, ServerId, Now))
+      recordHostProbe(Shared.Pool, ServerId, Now))
     Shared.SendToAgent(SlotAgentLink, Ping{});
 }
 
@@ -90,13 +90,13 @@
  * have arrived without being read. */
 void Exchange::discardProbeAfterStall(TimePoint Now) {
   if (Now - TimerDue > ProcessStallThreshold)
-    forgetQuestion(Shared.Pool, ServerId);
+    discardProbe(Shared.Pool, ServerId);
 }
 
 /** Says whether the host of the current back end left a ping unanswered for too
  * long. */
 bool Exchange::isServerHostUnresponsive(TimePoint Now) const {
-  const auto UnresponsiveFrom = standsStillFrom(Shared.Pool, ServerId);
+  const auto UnresponsiveFrom = unresponsiveFrom(Shared.Pool, ServerId);
   return UnresponsiveFrom && Now >= *UnresponsiveFrom;
 }
 
@@ -131,7 +131,7 @@
 TimePoint Exchange::nextPartDeadline() const {
   return RequestRoute == nullptr
              ? RequestDeadline
-             : answerNeededBy(*RequestRoute, RequestDeadline, LastSentToCaller);
+             : answerDeadline(*RequestRoute, RequestDeadline, LastSentToCaller);
 }
 
 /**
@@ -145,7 +145,7 @@
   if (!Call || Mode != AnswerMode::Waiting ||
       RequestRoute->Kind != RouteKind::Stream)
     return std::nullopt;
-  return mayBeginUntil(Shared.Pool, ServerId, WeightsWhenSent);
+  return latestStartTime(Shared.Pool, ServerId, WeightsWhenSent);
 }
 
 /**
@@ -170,7 +170,7 @@
   if (isServerHostUnresponsive(Now) && Quiet >= silenceBeforePing())
     return true;
   const Duration ServerQuiet =
-      Now - std::max(LastProgress, lastHeard(Shared.Pool, ServerId));
+      Now - std::max(LastProgress, lastActivityTime(Shared.Pool, ServerId));
   return silenceLimit(false).count() > 0 &&
          (ServerQuiet >= silenceLimit(false) || Quiet >= silenceLimit(true));
 }
--- a/packages/entry/src/forward/forward_context.h
+++ b/packages/entry/src/forward/forward_context.h
@@ -35,7 +35,7 @@
    * Handles the agent's answer.
    * @param Answer The answer.
    */
-  virtual void handleSlotAnswer(const PlaceAnswer &Answer) = 0;
+  virtual void handleSlotAnswer(const SlotAnswer &Answer) = 0;
 };
 
 /** A request that waits until this entry may forward requests. */
@@ -55,7 +55,7 @@
   BackEndConnectionPool Connections; ///< Idle connections to back ends.
   ServerPool Pool;                   ///< Known back ends.
   RepeatBudget Repeats;              ///< Budget for retries.
-  CallerHabits CallerDeadlines;      ///< Usual initial deadlines.
+  InitialDeadlines CallerDeadlines;      ///< Usual initial deadlines.
   DocumentPtr Doc;                   ///< Document in force.
   TimePoint DocSince;                ///< When Doc came into force here.
   RouteIndex Index;                  ///< Look-up tables of Doc.
--- a/packages/entry/src/forward/forward_headers.cpp
+++ b/packages/entry/src/forward/forward_headers.cpp
@@ -50,7 +50,7 @@
  * or because it has the caller's key. */
 bool isSystemHeader(const HeaderNames &Names, boost::beast::string_view Name) {
   const std::array Own = {&Names.Remaining, &Names.ExpectedServer,
-                          &Names.ExpectedVersion, &Names.Tenant, &Names.Rank};
+                          &Names.ExpectedVersion, &Names.Workspace, &Names.Rank};
   return iequals(Name, "Authorization") ||
          std::ranges::any_of(
              Own, [&](const std::string *One) { return iequals(Name, *One); });
@@ -75,8 +75,8 @@
   Sent.set(Names.ExpectedServer, Added.Server.Value);
   if (!Added.Version.empty())
     Sent.set(Names.ExpectedVersion, Added.Version);
-  if (!Added.Tenant.empty())
-    Sent.set(Names.Tenant, Added.Tenant);
+  if (!Added.Workspace.empty())
+    Sent.set(Names.Workspace, Added.Workspace);
   if (Added.LastEventId)
     Sent.set(Names.LastEventId, std::to_string(*Added.LastEventId));
   Sent.set(Names.Rank, std::to_string(std::min(Added.Rank, 9U)));
--- a/packages/entry/src/forward/forward_headers.h
+++ b/packages/entry/src/forward/forward_headers.h
@@ -17,7 +17,7 @@
   Millis Remaining{0}; ///< Time until the caller's deadline.
   InstanceId Server;   ///< Run of the back end that may answer.
   std::string Version; ///< Required weights version; empty: any.
-  std::string Tenant;  ///< Workspace; empty: none.
+  std::string Workspace;  ///< Workspace; empty: none.
   uint32_t Rank = 0;   ///< Priority; 0 is first.
   std::optional<uint64_t> LastEventId; ///< Event after which to resume.
 };
--- a/packages/entry/src/forward/forwarder.cpp
+++ b/packages/entry/src/forward/forwarder.cpp
@@ -70,7 +70,7 @@
 
 /** Takes over the settings that may change while the process runs. */
 void Forwarder::applySettings(const Settings &From) {
-  Shared.Pool.Options.FormerWeightsFor = formerWeightsTime(From);
+  Shared.Pool.Options.ReplacedWeightsTime = replacedWeightsTime(From);
   Shared.Pool.Options.LapseGrace = Millis(From.LapseGraceMillis);
   Shared.Repeats.Limits = {From.RepeatRatio,
                            static_cast<uint32_t>(From.RepeatSlack),
@@ -104,7 +104,7 @@
 
 bool Forwarder::start() {
   Shared.Fleet.ReadyBy =
-      joinedBy(Shared.Clock.now(), Millis(Config.JoinWaitMillis));
+      expectedReadyTime(Shared.Clock.now(), Millis(Config.JoinWaitMillis));
   const bool Listening =
       listen(Config.RouteListen,
              makeCallbacks([this](const auto &Session, CallerRequest Request) {
@@ -223,8 +223,8 @@
     Shared.Doc = Doc;
     Shared.DocSince = Now;
     Shared.Index = makeRouteIndex(*Doc);
-    forgetOtherRoutes(Shared.CallerDeadlines, *Doc);
-    poolFollows(Shared.Pool, Doc, PublishedAfter, Now);
+    forgetRemovedRoutes(Shared.CallerDeadlines, *Doc);
+    applyPoolDocument(Shared.Pool, Doc, PublishedAfter, Now);
     resumeWaitingRequests();
   });
 }
@@ -239,10 +239,10 @@
 }
 
 void Forwarder::handlePong(LinkId Link) {
-  boost::asio::post(Shared.Io, [this, Link] { hostHeard(Shared.Pool, Link); });
+  boost::asio::post(Shared.Io, [this, Link] { recordAgentActivity(Shared.Pool, Link); });
 }
 
-void Forwarder::handleRateNotice(const RateHeard &Heard) {
+void Forwarder::handleRateNotice(const RateLimitNotice &Heard) {
   boost::asio::post(Shared.Io, [this, Heard] {
     const RateChange Change =
         jacinthpond::recordPeerRate(Shared.Pool, Heard, Shared.Clock.now());
@@ -252,9 +252,9 @@
   });
 }
 
-void Forwarder::handleSlotAnswer(LinkId Link, const PlaceAnswer &Answer) {
+void Forwarder::handleSlotAnswer(LinkId Link, const SlotAnswer &Answer) {
   boost::asio::post(Shared.Io, [this, Link, Answer] {
-    hostHeard(Shared.Pool, Link);
+    recordAgentActivity(Shared.Pool, Link);
     // Removed with its answer: a weak pointer that stays in the map would keep
     // the memory of its request allocated.
     const auto Node = Shared.SlotWaiters.extract(Answer.SlotId);
@@ -263,17 +263,17 @@
   });
 }
 
-void Forwarder::handleAgentReports(std::vector<AgentNews> News) {
+void Forwarder::handleAgentReports(std::vector<AgentReport> News) {
   boost::asio::post(Shared.Io, [this, News = std::move(News)] {
     const TimePoint Now = Shared.Clock.now();
-    for (const AgentNews &One : News)
-      agentTold(Shared.Pool, One, Now);
+    for (const AgentReport &One : News)
+      applyAgentReport(Shared.Pool, One, Now);
   });
 }
 
 void Forwarder::setFleet(FleetSnapshot Fleet) {
   boost::asio::post(Shared.Io, [this, Fleet = std::move(Fleet)] {
-    listingAway(Shared.Pool, Fleet.ListingAway, Shared.Clock.now());
+    setListingUnavailable(Shared.Pool, Fleet.ListingUnavailable, Shared.Clock.now());
     Shared.Pool.Entries = Fleet.Sharers;
     Shared.Pool.Sharers = Fleet.SharerNames;
     Shared.Fleet = Fleet;
@@ -293,7 +293,7 @@
 void Forwarder::answerDirectoryRequest(CallerSession &To,
                                        const CallerRequest &Request) const {
   CallerAnswer Out;
-  const auto Question = Shared.Wire.directoryQuestion(
+  const auto Question = Shared.Wire.parseDirectoryQuery(
       std::string_view(Request.target().data(), Request.target().size()));
   if (!Question) {
     Out.result(http::status::not_found);
--- a/packages/entry/src/forward/forwarder.h
+++ b/packages/entry/src/forward/forwarder.h
@@ -49,7 +49,7 @@
   void setDocument(DocumentPtr Doc, std::optional<TimePoint> PublishedAfter);
 
   /** Applies reports of agents. @param News The reports. */
-  void handleAgentReports(std::vector<AgentNews> News);
+  void handleAgentReports(std::vector<AgentReport> News);
 
   /** Applies a change of the fleet. @param Fleet The current state. */
   void setFleet(FleetSnapshot Fleet);
@@ -69,14 +69,14 @@
    * Handles a rate limit notice of another entry.
    * @param Heard The notice.
    */
-  void handleRateNotice(const RateHeard &Heard);
+  void handleRateNotice(const RateLimitNotice &Heard);
 
   /**
    * Handles an agent's answer to a request for a slot.
    * @param Link The link to the agent.
    * @param Answer The answer.
    */
-  void handleSlotAnswer(LinkId Link, const PlaceAnswer &Answer);
+  void handleSlotAnswer(LinkId Link, const SlotAnswer &Answer);
 
   /** Handles an agent's answer to a ping. @param Link The link to the agent. */
   void handlePong(LinkId Link);
--- a/packages/entry/src/main.cpp
+++ b/packages/entry/src/main.cpp
@@ -30,7 +30,7 @@
   if (!Config)
     return ExitInvalid;
   beginLog(Version, *Config);
-  const bool OnStore = runsOnStore(*Config);
+  const bool OnStore = isOnStorePlatform(*Config);
   HttpConfig HttpService(Config->ConfigUrl);
   StoreConfig Store(Config->ConfigUrl,
                     {Config->DomainRegions, Config->AgentPort});
@@ -56,7 +56,7 @@
     return ExitFailed;
   }
   announceReady({{"peers", Peers}, {"callers", CallersAt}, {"admin", AdminAt}});
-  waitForStop(SettingsPath, SettingOwner::Entry,
+  reloadSettingsUntilStop(SettingsPath, SettingOwner::Entry,
               [&](const Settings &Changed) { Routes.reload(Changed); });
   shutDown([&] { return Shell.drain(); });
   return ExitDone;
@@ -136,7 +136,7 @@
 /** Parses the command line and runs its command. @return Exit code. */
 int parseAndRun(int Count, const char **Arguments) {
   CommandLine Line;
-  const auto Words = readCommandLine(
+  const auto Words = parseCommandLine(
       "jacinthpond", "[OPTIONS] serve | check FILE | status | domains | config",
       commandLineOptions(Line), Count, Arguments);
   return Words ? runParsedCommand(Line, *Words) : ExitUsage;
--- a/packages/entry/src/status_json.cpp
+++ b/packages/entry/src/status_json.cpp
@@ -90,7 +90,7 @@
 }
 
 /** Formats a workspace with its open requests. */
-Json tenantJson(const TenantStatus &Item) {
+Json workspaceJson(const WorkspaceStatus &Item) {
   return {{"name", Item.Name.Value}, {"open_requests", Item.OpenRequests}};
 }
 
@@ -102,7 +102,7 @@
           {"domains", jsonArray(Status.Domains, domainJson)},
           {"models", jsonArray(Status.Models, modelJson)},
           {"classes", jsonArray(Status.Classes, classJson)},
-          {"tenants", jsonArray(Status.Tenants, tenantJson)},
+          {"tenants", jsonArray(Status.Workspaces, workspaceJson)},
           {"workers", jsonArray(Status.Workers, workerJson)}};
 }
 
@@ -121,7 +121,7 @@
 Json refusalsJson(const FleetStatus &Status) {
   Json Errors = Json::object();
   for (const auto &[Kind, n] : Status.Refusals.Errors)
-    Errors[answerFor(Kind).Name] = n;
+    Errors[errorAnswerFor(Kind).Name] = n;
   return {{"errors", Errors},
           {"documents_refused", Status.Refusals.DocumentsRefused},
           {"document_conflicts", Status.Refusals.DocumentConflicts},
--- a/packages/entry/src/weights_health.cpp
+++ b/packages/entry/src/weights_health.cpp
@@ -22,7 +22,7 @@
     Sum.BytesPerSecond += Load.BytesPerSecond;
     Sum.BytesFromOrigin += Load.BytesFromOrigin;
     Sum.BytesFromPeers += Load.BytesFromPeers;
-    Sum.BytesAcross += Load.BytesAcross;
+    Sum.BytesFromOtherDomains += Load.BytesFromOtherDomains;
   }
   return {{"replicas", Replicas},
           {"chunks_held", Sum.ChunksHeld},
@@ -30,7 +30,7 @@
           {"bytes_per_second", Sum.BytesPerSecond},
           {"bytes_from_origin", Sum.BytesFromOrigin},
           {"bytes_from_peers", Sum.BytesFromPeers},
-          {"bytes_across", Sum.BytesAcross}};
+          {"bytes_across", Sum.BytesFromOtherDomains}};
 }
 
 } // namespace jacinthpond
--- a/packages/ports/src/engine_port.h
+++ b/packages/ports/src/engine_port.h
@@ -12,10 +12,10 @@
 namespace jacinthpond {
 
 /** Callbacks of EnginePort::load(), which sends one or more load orders. */
-struct LoadSteps {
+struct LoadCallbacks {
   /** Called right before each order is sent, to verify the staged chunks. If it
    * fails, the order is not sent. */
-  std::function<Result<void>()> LastLook;
+  std::function<Result<void>()> VerifyStaged;
   /** Called when the engine has accepted an order. Fails when the staged chunks
    * are no longer those that were verified before the order; otherwise chunks
    * of other versions may be staged again. */
@@ -70,7 +70,7 @@
    * @return Nothing, or why the engine refused; OutcomeUnknown when it may have
    *         loaded, or may still load, other chunks than those verified.
    */
-  virtual Result<void> load(const LoadOrder &Order, const LoadSteps &Steps) = 0;
+  virtual Result<void> load(const LoadOrder &Order, const LoadCallbacks &Steps) = 0;
 };
 
 } // namespace jacinthpond
--- a/packages/ports/src/wire_port.h
+++ b/packages/ports/src/wire_port.h
@@ -21,7 +21,7 @@
   std::string ExpectedServer; ///< Incarnation of the back end that may answer.
   /** Weights version that the answer may start with. */
   std::string ExpectedVersion;
-  std::string Tenant;        ///< Workspace; set by the entry, not by callers.
+  std::string Workspace;        ///< Workspace; set by the entry, not by callers.
   std::string Signature;     ///< Shows that a back end made the answer.
   std::string Load;          ///< Load of the answering back end.
   std::string NotExecuted;   ///< Set when the back end did not run the request.
@@ -57,7 +57,7 @@
    * @return The query; nothing when the target has another path.
    */
   virtual std::optional<DirectoryQuery>
-  directoryQuestion(std::string_view Target) const = 0;
+  parseDirectoryQuery(std::string_view Target) const = 0;
 
   /**
    * Formats the answer to such a query.
@@ -73,21 +73,21 @@
    * @param Value Header value.
    * @return Number of requests that run or wait there; nothing when malformed.
    */
-  virtual std::optional<uint32_t> busyOf(std::string_view Value) const = 0;
+  virtual std::optional<uint32_t> parseServerLoad(std::string_view Value) const = 0;
 
   /**
    * Parses the rate limit that a back end reports with an answer.
    * @param Value Header value.
    * @return Requests a second, 0 or more; nothing when malformed.
    */
-  virtual std::optional<double> rateLimitOf(std::string_view Value) const = 0;
+  virtual std::optional<double> parseRateLimit(std::string_view Value) const = 0;
 
   /**
    * Parses the size of a prompt.
    * @param Value Header value.
    * @return Number of prompt tokens; 0 when malformed.
    */
-  virtual uint32_t promptTokens(std::string_view Value) const = 0;
+  virtual uint32_t parsePromptTokens(std::string_view Value) const = 0;
 };
 
 } // namespace jacinthpond
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -46,9 +46,9 @@
   const auto Offered = offerLoad(All, What);
   BOOST_TEST_MESSAGE("capacity " << Capacity << ", goodput "
                                  << goodput(Offered, 1, 6) << ", small "
-                                 << answeredShare(Offered, LargeTenant, false));
+                                 << answeredShare(Offered, LargeWorkspace, false));
   BOOST_TEST(goodput(Offered, 1, 6) >= 0.9 * Capacity);
-  BOOST_TEST(answeredShare(Offered, LargeTenant, false) >= 0.9);
+  BOOST_TEST(answeredShare(Offered, LargeWorkspace, false) >= 0.9);
   for (const auto &One : Offered) {
     if (One.Status == 200)
       continue;
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 /** Builds a request for admission with 30 s left. */
-Admittee makeRequest(int n, const std::string &Tenant = "huts",
+AdmissionRequest makeRequest(int n, const std::string &Workspace = "huts",
                      uint32_t Priority = 1, uint32_t Weight = 1) {
-  Admittee One;
-  One.Who = {AttemptId{std::to_string(n)}, TenantName{Tenant}, Weight,
+  AdmissionRequest One;
+  One.Who = {AttemptId{std::to_string(n)}, WorkspaceName{Workspace}, Weight,
              Priority};
   One.Remaining = Millis{30000};
   return One;
@@ -32,8 +32,8 @@
   /** Runs attempts to completion, one after the other. */
   void complete(int Runs, Millis Took = Millis{100}) {
     for (int n = 0; n < Runs; ++n) {
-      askToRun(Gate, makeRequest(1000 + n));
-      runEnded(Gate, AttemptId{"any"}, RunEnd::Complete, Took);
+      requestAdmission(Gate, makeRequest(1000 + n));
+      recordRunEnd(Gate, AttemptId{"any"}, RunEnd::Complete, Took);
     }
   }
   Admission Gate;
@@ -46,10 +46,10 @@
 BOOST_AUTO_TEST_CASE(TheLimitGrowsWithCompletedWorkOnly) {
   complete(5);
   BOOST_TEST(Gate.Limit == 2U);
-  askToRun(Gate, makeRequest(1));
-  runEnded(Gate, AttemptId{"1"}, RunEnd::Abandoned, Millis{100});
+  requestAdmission(Gate, makeRequest(1));
+  recordRunEnd(Gate, AttemptId{"1"}, RunEnd::Abandoned, Millis{100});
   BOOST_TEST(Gate.Limit == 2U);
-  backEndReported(Gate, 0, false, false);
+  applyBackEndReport(Gate, 0, false, false);
   complete(1);
   BOOST_TEST(Gate.Limit == 4U);
   complete(4 + 8);
@@ -57,40 +57,40 @@
 }
 
 BOOST_AUTO_TEST_CASE(AColdReportHoldsAndLowersTheLimit) {
-  backEndReported(Gate, 0, true, true);
+  applyBackEndReport(Gate, 0, true, true);
   complete(50);
   BOOST_TEST(Gate.Limit == 2U);
-  backEndReported(Gate, 0, false, false);
+  applyBackEndReport(Gate, 0, false, false);
   complete(1);
   BOOST_TEST(Gate.Limit == 4U);
-  backEndReported(Gate, 0, true, false);
+  applyBackEndReport(Gate, 0, true, false);
   BOOST_TEST(Gate.Limit == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(RunsOfAFormerAgentAreCounted) {
-  backEndReported(Gate, 3, false, true);
-  BOOST_TEST((askToRun(Gate, makeRequest(1)).Decision == Admitted::Wait));
-  backEndReported(Gate, 2, false, false);
-  BOOST_TEST(!nextToRun(Gate));
-  backEndReported(Gate, 1, false, false);
-  BOOST_TEST(nextToRun(Gate)->Value == "1");
+  applyBackEndReport(Gate, 3, false, true);
+  BOOST_TEST((requestAdmission(Gate, makeRequest(1)).Decision == AdmissionDecision::Wait));
+  applyBackEndReport(Gate, 2, false, false);
+  BOOST_TEST(!admitNext(Gate));
+  applyBackEndReport(Gate, 1, false, false);
+  BOOST_TEST(admitNext(Gate)->Value == "1");
   // Reports lag: they must not count attempts of this process twice.
-  backEndReported(Gate, 2, false, false);
+  applyBackEndReport(Gate, 2, false, false);
   BOOST_TEST(Gate.Lingering <= 1U);
-  backEndReported(Gate, 1, false, false);
+  applyBackEndReport(Gate, 1, false, false);
   BOOST_TEST(Gate.Lingering == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(SlowTokensLowerTheLimit) {
   Gate.Limit = 16;
   for (int n = 0; n < 64; ++n)
-    BOOST_TEST(!tokenCame(Gate, Millis{10}));
+    BOOST_TEST(!recordTokenGap(Gate, Millis{10}));
   // One stalled answer is not enough; most gaps have to be long.
   for (int n = 0; n < 32; ++n)
-    BOOST_TEST(!tokenCame(Gate, Millis{n % 3 == 0 ? 500 : 10}));
+    BOOST_TEST(!recordTokenGap(Gate, Millis{n % 3 == 0 ? 500 : 10}));
   bool Lowered = false;
   for (int n = 0; n < 32; ++n)
-    Lowered = tokenCame(Gate, Millis{100}) || Lowered;
+    Lowered = recordTokenGap(Gate, Millis{100}) || Lowered;
   BOOST_TEST(Lowered);
   BOOST_TEST(Gate.Limit == 2U);
 }
@@ -98,53 +98,53 @@
 BOOST_AUTO_TEST_CASE(NothingStartsWhileMoreThanALoweredLimitRuns) {
   Gate.Limit = 16;
   for (int n = 0; n < 16; ++n)
-    askToRun(Gate, makeRequest(n));
-  askToRun(Gate, makeRequest(99));
+    requestAdmission(Gate, makeRequest(n));
+  requestAdmission(Gate, makeRequest(99));
   applyColdLimit(Gate);
   for (int n = 0; n < 14; ++n) {
-    runEnded(Gate, AttemptId{std::to_string(n)}, RunEnd::Complete, Millis{100});
-    BOOST_TEST(!nextToRun(Gate));
+    recordRunEnd(Gate, AttemptId{std::to_string(n)}, RunEnd::Complete, Millis{100});
+    BOOST_TEST(!admitNext(Gate));
   }
-  runEnded(Gate, AttemptId{"14"}, RunEnd::Complete, Millis{100});
-  BOOST_TEST(nextToRun(Gate)->Value == "99");
+  recordRunEnd(Gate, AttemptId{"14"}, RunEnd::Complete, Millis{100});
+  BOOST_TEST(admitNext(Gate)->Value == "99");
   BOOST_TEST(Gate.Limit == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(RefusalsComeAtOnceWithARetryTime) {
   complete(2, Millis{1000});
   for (int n = 0; n < 2; ++n)
-    askToRun(Gate, makeRequest(n));
-  Admittee Hurried = makeRequest(2);
+    requestAdmission(Gate, makeRequest(n));
+  AdmissionRequest Hurried = makeRequest(2);
   Hurried.Remaining = Millis{900};
-  BOOST_TEST((askToRun(Gate, Hurried).Decision == Admitted::Refuse));
+  BOOST_TEST((requestAdmission(Gate, Hurried).Decision == AdmissionDecision::Refuse));
   for (int n = 3; n < 7; ++n)
-    BOOST_TEST((askToRun(Gate, makeRequest(n)).Decision == Admitted::Wait));
-  const AdmissionAnswer Full = askToRun(Gate, makeRequest(7));
-  BOOST_TEST((Full.Decision == Admitted::Refuse));
+    BOOST_TEST((requestAdmission(Gate, makeRequest(n)).Decision == AdmissionDecision::Wait));
+  const AdmissionResult Full = requestAdmission(Gate, makeRequest(7));
+  BOOST_TEST((Full.Decision == AdmissionDecision::Refuse));
   // Five attempts to start, two at a time, one second each.
   BOOST_TEST(Full.RetryAfter.count() == 2500);
 }
 
 // A suspect waits until nothing else runs, and blocks later attempts meanwhile.
 BOOST_AUTO_TEST_CASE(ASuspectRunsAlone) {
-  askToRun(Gate, makeRequest(1));
-  Admittee Suspect = makeRequest(2);
+  requestAdmission(Gate, makeRequest(1));
+  AdmissionRequest Suspect = makeRequest(2);
   Suspect.Alone = true;
-  BOOST_TEST((askToRun(Gate, Suspect).Decision == Admitted::Wait));
-  BOOST_TEST((askToRun(Gate, makeRequest(3)).Decision == Admitted::Wait));
-  BOOST_TEST(!nextToRun(Gate));
-  runEnded(Gate, AttemptId{"1"}, RunEnd::Complete, Millis{1});
-  BOOST_TEST(nextToRun(Gate)->Value == "2");
-  BOOST_TEST(!nextToRun(Gate));
-  runEnded(Gate, AttemptId{"2"}, RunEnd::Complete, Millis{1});
-  BOOST_TEST(nextToRun(Gate)->Value == "3");
+  BOOST_TEST((requestAdmission(Gate, Suspect).Decision == AdmissionDecision::Wait));
+  BOOST_TEST((requestAdmission(Gate, makeRequest(3)).Decision == AdmissionDecision::Wait));
+  BOOST_TEST(!admitNext(Gate));
+  recordRunEnd(Gate, AttemptId{"1"}, RunEnd::Complete, Millis{1});
+  BOOST_TEST(admitNext(Gate)->Value == "2");
+  BOOST_TEST(!admitNext(Gate));
+  recordRunEnd(Gate, AttemptId{"2"}, RunEnd::Complete, Millis{1});
+  BOOST_TEST(admitNext(Gate)->Value == "3");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(Order)
 
-BOOST_AUTO_TEST_CASE(TenantsShareByWeight) {
+BOOST_AUTO_TEST_CASE(WorkspacesShareByWeight) {
   FairQueue Queue;
   for (int n = 0; n < 60; ++n)
     enqueueWaiter(Queue, makeRequest(n, "large").Who);
@@ -174,7 +174,7 @@
   BOOST_TEST(Place == 8);
 }
 
-BOOST_AUTO_TEST_CASE(AFullQueueMakesRoomForTheSmallTenant) {
+BOOST_AUTO_TEST_CASE(AFullQueueMakesRoomForTheSmallWorkspace) {
   FairQueue Queue;
   for (int n = 0; n < 4; ++n)
     enqueueWaiter(Queue, makeRequest(n, "large").Who);
--- a/tests/unit/attempt_recovery_test.cpp
+++ b/tests/unit/attempt_recovery_test.cpp
@@ -24,20 +24,20 @@
   void begin() const {
     Effects Out;
     AgentState &At = All.Agents.at(Agent);
-    engineBegan(At, Which, At.Weights.Loaded, Out);
+    handleEngineStart(At, Which, At.Weights.Loaded, Out);
     deliverEffects(Out);
   }
   /** Delivers a token of the answer to the agent. */
   void token(const std::string &Text) const {
     Effects Out;
-    engineToken(All.Agents.at(Agent), Which, Text, All.Now, Out);
+    handleEngineToken(All.Agents.at(Agent), Which, Text, All.Now, Out);
     deliverEffects(Out);
   }
   /** Ends the answer; Count is the number of tokens that the engine reports. */
   void end(uint64_t Count) const {
     Effects Out;
     AgentState &At = All.Agents.at(Agent);
-    engineEnded(At, Which, {EngineEnd{Count, At.Weights.Loaded}, {}}, All.Now,
+    handleEngineEnd(At, Which, {EngineEnd{Count, At.Weights.Loaded}, {}}, All.Now,
                 Out);
     deliverEffects(Out);
   }
@@ -124,7 +124,7 @@
 // Frames of an answer arrive late, reordered, twice or not at all. The caller
 // must get the complete answer or an error, never a truncated answer.
 BOOST_AUTO_TEST_CASE(DisturbedFramesNeverTruncateAnAnswer) {
-  // Order of arrival: frames 0 to 3, "b" AttemptBegun, "e" AnswerEnd, "x" an
+  // Order of arrival: frames 0 to 3, "b" AttemptStarted, "e" AnswerEnd, "x" an
   // AnswerEnd with a wrong digest.
   const std::vector<std::pair<std::string, bool>> Orders = {
       {"b0123e", true},   {"b00112233e", true}, {"bb0123ee", true},
@@ -140,7 +140,7 @@
       const LinkId End = All.findWire("e0", "m0").FromEnd;
       const std::string Text = "wxyz";
       for (const char c : Order) {
-        Message m = AttemptBegun{Which, All.Agents["m0"].Weights.Loaded};
+        Message m = AttemptStarted{Which, All.Agents["m0"].Weights.Loaded};
         if (c == 'e')
           m = AnswerEnd{Which, 4, sha256(Text), 200};
         else if (c == 'x')
@@ -186,7 +186,7 @@
   const std::string First = All.ServiceCalls[0].first;
   const std::string Other = First == "s0" ? "s1" : "s0";
   Effects Out;
-  agentStop(All.Agents[Other], All.Now, Out);
+  beginAgentShutdown(All.Agents[Other], All.Now, Out);
   All.kill(First);
   All.advanceTime(milliseconds(3000));
   BOOST_REQUIRE(All.Finals.contains(Call));
@@ -207,8 +207,8 @@
   }
   BOOST_TEST(Ended.ById.size() == MaxEndedAttempts);
   BOOST_TEST(Ended.FrameBytes <= MaxEndedBytes);
-  BOOST_TEST(!isEndedComplete(Ended, Now));
-  BOOST_TEST(isEndedComplete(Ended, Now + EndedRetention));
+  BOOST_TEST(!hasAllEndedAttempts(Ended, Now));
+  BOOST_TEST(hasAllEndedAttempts(Ended, Now + EndedRetention));
   expireEnded(Ended, Now + 2 * EndedRetention);
   BOOST_TEST(Ended.ById.empty());
   BOOST_TEST(Ended.FrameBytes == 0U);
--- a/tests/unit/caller_age_test.cpp
+++ b/tests/unit/caller_age_test.cpp
@@ -18,7 +18,7 @@
 }
 
 /** Learns the deadlines of new callers, which differ by a sixth. */
-void learnDeadlines(CallerHabits &Deadlines, const Route &Matched) {
+void learnDeadlines(InitialDeadlines &Deadlines, const Route &Matched) {
   for (int n = 0; n < 100; ++n)
     BOOST_TEST(
         callerAge(Deadlines, Matched, Millis(5100 + (n * 37) % 900)).count() ==
@@ -28,7 +28,7 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(ARetryingCallerHasAnAge) {
-  CallerHabits Deadlines;
+  InitialDeadlines Deadlines;
   const Route Matched = makeRoute();
   learnDeadlines(Deadlines, Matched);
   const Duration Age = callerAge(Deadlines, Matched, Millis(4000));
@@ -40,7 +40,7 @@
 // others look like retrying ones: no route keeps a request longer than its
 // timeout.
 BOOST_AUTO_TEST_CASE(ADeadlineBeyondTheTimeoutHasNoEffect) {
-  CallerHabits Deadlines;
+  InitialDeadlines Deadlines;
   const Route Matched = makeRoute();
   callerAge(Deadlines, Matched, std::chrono::hours(1));
   learnDeadlines(Deadlines, Matched);
@@ -49,7 +49,7 @@
 // Guards against new callers that look old after the operator shortened the
 // timeout of a route, or after callers changed their deadlines.
 BOOST_AUTO_TEST_CASE(FormerDeadlinesAreForgotten) {
-  CallerHabits Deadlines;
+  InitialDeadlines Deadlines;
   const Route Matched = makeRoute();
   learnDeadlines(Deadlines, Matched);
   for (int n = 0; n < 500; ++n)
@@ -60,20 +60,20 @@
 // Guards against a memory leak: routes get new names with each change of the
 // configuration.
 BOOST_AUTO_TEST_CASE(RemovedRoutesAreForgotten) {
-  CallerHabits Deadlines;
+  InitialDeadlines Deadlines;
   Document Doc;
   Doc.Routes.push_back(makeRoute());
   learnDeadlines(Deadlines, Doc.Routes.front());
-  forgetOtherRoutes(Deadlines, Doc);
+  forgetRemovedRoutes(Deadlines, Doc);
   BOOST_TEST(Deadlines.LongestDeadline.size() == 1U);
-  forgetOtherRoutes(Deadlines, Document{});
+  forgetRemovedRoutes(Deadlines, Document{});
   BOOST_TEST(Deadlines.LongestDeadline.empty());
 }
 
 BOOST_AUTO_TEST_CASE(ALateRequestKeepsTimeForARetry) {
-  BOOST_TEST(lateWait(Millis(3000)).count() == 1000);
-  BOOST_TEST(lateWait(std::chrono::hours(1)).count() <= 2000);
-  BOOST_TEST(lateWait(Duration{-1}).count() == 0);
+  BOOST_TEST(lateRequestWait(Millis(3000)).count() == 1000);
+  BOOST_TEST(lateRequestWait(std::chrono::hours(1)).count() <= 2000);
+  BOOST_TEST(lateRequestWait(Duration{-1}).count() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(ACallerIsRecognizedAfterItsRetryDelay) {
@@ -81,11 +81,11 @@
   // refused ones retried after 0.2 s and counted as new, since the deadlines of
   // new callers differ by a sixth. They were late already, and others that
   // could still be on time got no slot.
-  CallerHabits Deadlines;
+  InitialDeadlines Deadlines;
   const Route Matched = makeRoute();
-  BOOST_TEST((awayToBeKnown(Deadlines, Matched) == Duration{0}));
+  BOOST_TEST((recognizableRetryDelay(Deadlines, Matched) == Duration{0}));
   learnDeadlines(Deadlines, Matched);
-  const Duration Delay = awayToBeKnown(Deadlines, Matched);
+  const Duration Delay = recognizableRetryDelay(Deadlines, Matched);
   BOOST_TEST((Delay > Millis(1000) && Delay < Millis(1300)));
   BOOST_TEST(
       (callerAge(Deadlines, Matched, Millis(5900) - Delay) > Duration{0}));
--- a/tests/unit/caller_wait_test.cpp
+++ b/tests/unit/caller_wait_test.cpp
@@ -26,24 +26,24 @@
 // Guards against streams that run until a deadline for which their callers do
 // not wait.
 BOOST_AUTO_TEST_CASE(AStreamIsAnsweredBeforeItsCallerLeaves) {
-  const TimePoint By = answerNeededBy(makeStreamRoute(), Deadline, Arrival);
+  const TimePoint By = answerDeadline(makeStreamRoute(), Deadline, Arrival);
   BOOST_TEST((By < Arrival + Millis(2400)));
   BOOST_TEST((By >= Arrival + Millis(2250)));
 }
 
 BOOST_AUTO_TEST_CASE(EachPartRestartsTheWait) {
   const TimePoint Given = Arrival + Millis(3000);
-  BOOST_TEST((answerNeededBy(makeStreamRoute(), Deadline, Given) >
+  BOOST_TEST((answerDeadline(makeStreamRoute(), Deadline, Given) >
               Arrival + Millis(5000)));
   const TimePoint Late = Arrival + Millis(4000);
-  BOOST_TEST((answerNeededBy(makeStreamRoute(), Deadline, Late) == Deadline));
+  BOOST_TEST((answerDeadline(makeStreamRoute(), Deadline, Late) == Deadline));
 }
 
 BOOST_AUTO_TEST_CASE(OtherRequestsHaveTheirDeadline) {
   Route One = makeStreamRoute();
   One.Kind = RouteKind::Idempotent;
-  BOOST_TEST((answerNeededBy(One, Deadline, Arrival) == Deadline));
+  BOOST_TEST((answerDeadline(One, Deadline, Arrival) == Deadline));
   One = makeStreamRoute();
   One.LongestSilence = Millis{0};
-  BOOST_TEST((answerNeededBy(One, Deadline, Arrival) == Deadline));
+  BOOST_TEST((answerDeadline(One, Deadline, Arrival) == Deadline));
 }
--- a/tests/unit/chunk_list_test.cpp
+++ b/tests/unit/chunk_list_test.cpp
@@ -42,9 +42,9 @@
     Config.EngineUrl = "http://127.0.0.1:1";
     Agent = makeAgent(Config, Incarnation{1}, Now);
     Agent.View.InForce = Fleet;
-    planTransfer(Agent.Transfer, Agent.Weights, *Fleet, Self->Name, Now);
-    chunkPeerReady(Agent.Transfer, SameDomainPeer, HostName{"near"}, true);
-    chunkPeerReady(Agent.Transfer, OtherDomainPeer, HostName{"far"}, false);
+    updateTransferPlan(Agent.Transfer, Agent.Weights, *Fleet, Self->Name, Now);
+    addChunkPeer(Agent.Transfer, SameDomainPeer, HostName{"near"}, true);
+    addChunkPeer(Agent.Transfer, OtherDomainPeer, HostName{"far"}, false);
   }
 
   /** Lets the agent obtain the chunk list of NamedVersion. */
@@ -68,7 +68,7 @@
     std::vector<LinkId> Links;
     for (const Effect &One : Out)
       if (const auto *Sent = std::get_if<SendMessage>(&One))
-        if (std::holds_alternative<ChunkListTold>(Sent->Content))
+        if (std::holds_alternative<ChunkListNotice>(Sent->Content))
           Links.push_back(Sent->Link);
     return Links;
   }
@@ -109,7 +109,7 @@
   AgentFixture Test(2);
   Test.announceVersion();
   BOOST_TEST(!Test.hasRequestedList());
-  const ChunkListTold Told{{"m"}, "2", 100, Test.List.Chunks};
+  const ChunkListNotice Told{{"m"}, "2", 100, Test.List.Chunks};
   BOOST_TEST(
       !handleListNotice(Test.Agent, LinkId{9}, Told, Test.Now, Test.Out));
   BOOST_TEST(
@@ -122,7 +122,7 @@
 
 BOOST_AUTO_TEST_CASE(ListThatArrivesBeforeTheDocumentIsKept) {
   AgentFixture Test(2);
-  const ChunkListTold Told{{"m"}, "2", 100, Test.List.Chunks};
+  const ChunkListNotice Told{{"m"}, "2", 100, Test.List.Chunks};
   BOOST_TEST(
       !handleListNotice(Test.Agent, SameDomainPeer, Told, Test.Now, Test.Out));
   Test.announceVersion();
--- a/tests/unit/chunk_plan_test.cpp
+++ b/tests/unit/chunk_plan_test.cpp
@@ -106,8 +106,8 @@
     TimePoint Now{};
     uint64_t Sent = 0;
     for (; Now < TimePoint{} + Millis(10000); Now += Millis(Step))
-      while (rateAllows(Limit, Now)) {
-        rateSpend(Limit, 3000);
+      while (isWithinRate(Limit, Now)) {
+        takeRateTokens(Limit, 3000);
         Sent += 3000;
       }
     BOOST_TEST(Sent <= 1000000U + 13000U);
@@ -124,9 +124,9 @@
     uint64_t Sent = 0;
     const TimePoint End{Millis(11000)};
     for (TimePoint Now{Millis(1000)}; Now < End; Now += Millis(10)) {
-      rateYield(Limit, Live / 100, Now);
-      while (rateAllows(Limit, Now)) {
-        rateSpend(Limit, 1000);
+      countLiveTraffic(Limit, Live / 100, Now);
+      while (isWithinRate(Limit, Now)) {
+        takeRateTokens(Limit, 1000);
         Sent += 1000;
       }
     }
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -40,7 +40,7 @@
     sendHeartbeats(Sender, View, TimePoint{}, Out);
     const Message &Sent = std::get<SendMessage>(Out.at(0)).Content;
     Bytes = encodeMessage(Sent).size();
-    heartbeatHeard(Receiver, LinkId{1}, std::get<Heartbeat>(Sent), TimePoint{});
+    handleHeartbeat(Receiver, LinkId{1}, std::get<Heartbeat>(Sent), TimePoint{});
     BOOST_TEST((Receiver.Links[LinkId{1}].Load.Weights == sha256("weights")));
   }
   BOOST_TEST_MESSAGE("bytes of a heartbeat: " << Bytes);
@@ -70,12 +70,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(AChunkListSurvivesARoundTrip) {
-  ChunkListTold Notice;
+  ChunkListNotice Notice;
   Notice.Model.Value = "m";
   Notice.ChunkBytes = 32768;
   for (int n = 0; n < 64; ++n)
     Notice.Chunks.push_back(sha256(std::to_string(n)));
   const Message Back =
       *outcomeOf([&] { return decodeMessage(encodeMessage(Notice)); }).Value;
-  BOOST_TEST((std::get<ChunkListTold>(Back).Chunks == Notice.Chunks));
+  BOOST_TEST((std::get<ChunkListNotice>(Back).Chunks == Notice.Chunks));
 }
--- a/tests/unit/come_back_test.cpp
+++ b/tests/unit/come_back_test.cpp
@@ -18,7 +18,7 @@
   uint64_t Random = 7;
   std::vector<size_t> Slots(100);
   for (int n = 0; n < 500; ++n)
-    ++Slots.at(static_cast<size_t>(comeBackAfter(Why, Left, Random).count()) /
+    ++Slots.at(static_cast<size_t>(spreadRetryAfter(Why, Left, Random).count()) /
                100);
   return *std::ranges::max_element(Slots);
 }
@@ -39,9 +39,9 @@
   uint64_t Random = 7;
   const Failure Why{ErrorKind::Overloaded, "", Millis(60000)};
   for (int n = 0; n < 100; ++n) {
-    const Millis Delay = comeBackAfter(Why, Millis(3000), Random);
+    const Millis Delay = spreadRetryAfter(Why, Millis(3000), Random);
     BOOST_TEST(Delay.count() <= 1000);
     BOOST_TEST(Delay.count() >= 600);
   }
-  BOOST_TEST(comeBackAfter(Why, Millis(-5), Random).count() == 0);
+  BOOST_TEST(spreadRetryAfter(Why, Millis(-5), Random).count() == 0);
 }
--- a/tests/unit/event_stream_test.cpp
+++ b/tests/unit/event_stream_test.cpp
@@ -13,12 +13,12 @@
   // start.
   EventStream Stream;
   std::string Out;
-  BOOST_CHECK(putEvents(Stream, "id: 1\ndata: a\n\nid: 2\nda", Out) ==
-              EventVerdict::Good);
+  BOOST_CHECK(appendCompleteEvents(Stream, "id: 1\ndata: a\n\nid: 2\nda", Out) ==
+              EventStreamStatus::Good);
   BOOST_TEST(Out == "id: 1\ndata: a\n\n");
   dropPartialEvent(Stream);
-  BOOST_CHECK(putEvents(Stream, "id: 2\ndata: b\n\n", Out) ==
-              EventVerdict::Good);
+  BOOST_CHECK(appendCompleteEvents(Stream, "id: 2\ndata: b\n\n", Out) ==
+              EventStreamStatus::Good);
   BOOST_TEST(Out == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   BOOST_TEST(*Stream.LastId == 2U);
 }
@@ -29,8 +29,8 @@
   EventStream Stream;
   Stream.LastId = 4;
   std::string Out;
-  BOOST_CHECK(putEvents(Stream, "id: 6\ndata: x\n\n", Out) ==
-              EventVerdict::OutOfOrder);
+  BOOST_CHECK(appendCompleteEvents(Stream, "id: 6\ndata: x\n\n", Out) ==
+              EventStreamStatus::OutOfOrder);
   BOOST_TEST(Out.empty());
 }
 
@@ -38,21 +38,21 @@
   EventStream Stream;
   Stream.LastId = 4;
   std::string Out;
-  BOOST_CHECK(putEvents(Stream, "id: 4\ndata: x\n\n", Out) ==
-              EventVerdict::OutOfOrder);
+  BOOST_CHECK(appendCompleteEvents(Stream, "id: 4\ndata: x\n\n", Out) ==
+              EventStreamStatus::OutOfOrder);
 }
 
 BOOST_AUTO_TEST_CASE(LinesMayEndWithLfOrCrLf) {
   EventStream Stream;
   std::string Out;
-  BOOST_CHECK(putEvents(Stream, "id:7\r\ndata: x\r\n\r\n", Out) ==
-              EventVerdict::Good);
+  BOOST_CHECK(appendCompleteEvents(Stream, "id:7\r\ndata: x\r\n\r\n", Out) ==
+              EventStreamStatus::Good);
   BOOST_TEST(*Stream.LastId == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(AnEventAboveTheSizeLimitIsRejected) {
   EventStream Stream;
   std::string Out;
-  BOOST_CHECK(putEvents(Stream, std::string(MaxEventBytes + 1, 'x'), Out) ==
-              EventVerdict::TooLarge);
+  BOOST_CHECK(appendCompleteEvents(Stream, std::string(MaxEventBytes + 1, 'x'), Out) ==
+              EventStreamStatus::TooLarge);
 }
--- a/tests/unit/first_part_test.cpp
+++ b/tests/unit/first_part_test.cpp
@@ -10,21 +10,21 @@
 BOOST_AUTO_TEST_CASE(TheEstimateAddsReadingToTheMeasuredRest) {
   FirstPartTime Time;
   for (int n = 0; n < 100; ++n)
-    firstPartSeen(Time, Millis(n % 2 == 0 ? 250 : 150), Millis(50));
-  const Duration Short = firstPartAfter(Time, Millis(10));
+    recordFirstPart(Time, Millis(n % 2 == 0 ? 250 : 150), Millis(50));
+  const Duration Short = expectedFirstPartTime(Time, Millis(10));
   BOOST_TEST((Short > Millis(180) && Short < Millis(240)));
-  BOOST_TEST((firstPartAfter(Time, Millis(200)) == Short + Millis(190)));
+  BOOST_TEST((expectedFirstPartTime(Time, Millis(200)) == Short + Millis(190)));
 }
 
 BOOST_AUTO_TEST_CASE(WithoutSamplesTheEstimateIsTheReadingTime) {
-  BOOST_TEST((firstPartAfter({}, Millis(70)) == Millis(70)));
+  BOOST_TEST((expectedFirstPartTime({}, Millis(70)) == Millis(70)));
 }
 
 BOOST_AUTO_TEST_CASE(TheEstimateFollowsASlowerEngineWithinABatch) {
   FirstPartTime Time;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(Time, Millis(100), Millis(0));
+    recordFirstPart(Time, Millis(100), Millis(0));
   for (int n = 0; n < 16; ++n)
-    firstPartSeen(Time, Millis(300), Millis(0));
-  BOOST_TEST((firstPartAfter(Time, Millis(0)) > Millis(220)));
+    recordFirstPart(Time, Millis(300), Millis(0));
+  BOOST_TEST((expectedFirstPartTime(Time, Millis(0)) > Millis(220)));
 }
--- a/tests/unit/fleet_snapshot_test.cpp
+++ b/tests/unit/fleet_snapshot_test.cpp
@@ -41,10 +41,10 @@
   Fixture.receiveConfig(document(5));
   Fixture.connectAllPeers(5);
   BOOST_REQUIRE(Fixture.fresh());
-  BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
+  BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingUnavailable);
   Fixture.Now += Millis(5000);
-  entryTick(Fixture.State, Fixture.Now, Fixture.Out);
-  BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
+  handleEntryTick(Fixture.State, Fixture.Now, Fixture.Out);
+  BOOST_TEST(!fleetSnapshot(Fixture.State, Fixture.Now).ListingUnavailable);
 }
 
 BOOST_AUTO_TEST_CASE(AStartingEntryTellsWhenItIsExpectedToBeReady) {
@@ -73,5 +73,5 @@
     Fixture.advanceClock(Millis(500));
   }
   BOOST_REQUIRE(Fixture.fresh());
-  BOOST_TEST(fleetSnapshot(Fixture.State, Fixture.Now).ListingAway);
+  BOOST_TEST(fleetSnapshot(Fixture.State, Fixture.Now).ListingUnavailable);
 }
--- a/tests/unit/keyed_interleavings_test.cpp
+++ b/tests/unit/keyed_interleavings_test.cpp
@@ -70,7 +70,7 @@
     Key = findMovingKey();
     Call One;
     One.Received.Class.Value = "bookings";
-    One.Received.Tenant.Value = "huts";
+    One.Received.Workspace.Value = "huts";
     One.Received.Key.Value = Key;
     One.Received.Token = Token;
     Home = homeOfCall(All.Entries.at("e0"), One).Value;
@@ -85,7 +85,7 @@
     Doc.Workers.push_back(More);
     for (int n = 0;; ++n) {
       const std::string Name = "k" + std::to_string(n);
-      const KeyName MovedKey{ClassName{"bookings"}, TenantName{"huts"},
+      const KeyName MovedKey{ClassName{"bookings"}, WorkspaceName{"huts"},
                              IdempotencyKey{Name}};
       if (homeFromDocument(Doc, MovedKey) == More.Name)
         return Name;
@@ -300,14 +300,14 @@
 // the records of their keys stay.
 BOOST_AUTO_TEST_CASE(StoredAnswersAreBounded) {
   const TimePoint Now{std::chrono::hours(1)};
-  KeyBook Store = makeKeyBook(Now);
+  KeyStore Store = makeKeyStore(Now);
   Document Doc;
   const std::string Large(size_t{1} << 20U, 'x');
   for (size_t n = 0; n < 40; ++n) {
-    const KeyName Key{ClassName{"c"}, TenantName{"t"},
+    const KeyName Key{ClassName{"c"}, WorkspaceName{"t"},
                       IdempotencyKey{std::to_string(n)}};
-    openKey(Store, Doc, {Key, "", Digest{"b"}}, AttemptId{"a"}, Now);
-    closeKey(Store, Key, ServiceAnswer{200, Large});
+    addKeyRecord(Store, Doc, {Key, "", Digest{"b"}}, AttemptId{"a"}, Now);
+    completeKey(Store, Key, ServiceAnswer{200, Large});
   }
   BOOST_TEST(Store.AnswerBytes <= MaxAnswerBytes);
   BOOST_TEST(Store.Records.size() == 40U);
--- a/tests/unit/leaving_entry_test.cpp
+++ b/tests/unit/leaving_entry_test.cpp
@@ -22,7 +22,7 @@
   /** Begins the shutdown of e0. */
   void stopEntry(milliseconds HomeQueryTime = milliseconds(2000)) {
     Effects Out;
-    entryStop(All.Entries.at("e0"), All.Now, HomeQueryTime, Out);
+    beginEntryShutdown(All.Entries.at("e0"), All.Now, HomeQueryTime, Out);
     All.perform("e0", Out);
     All.deliverAll();
   }
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -31,7 +31,7 @@
     Wanted.Name.Value = "m";
     Wanted.Set.Value = "m@1";
     Doc.Models = {Wanted};
-    poolFollows(Pool, std::make_shared<const Document>(Doc), Now, Now);
+    applyPoolDocument(Pool, std::make_shared<const Document>(Doc), Now, Now);
     sendHeartbeat("m0", FirstLink);
     sendHeartbeat("m1", SecondLink);
   }
@@ -49,13 +49,13 @@
 
   /** Applies a heartbeat of a worker's agent. */
   void sendHeartbeat(const std::string &Id, LinkId Link) {
-    agentTold(Pool, {{Id + ":1"}, WorkerState::Serving, 0, {"m@1"}, true, Link},
+    applyAgentReport(Pool, {{Id + ":1"}, WorkerState::Serving, 0, {"m@1"}, true, Link},
               Now);
   }
 
   /** Ends the link to a worker's agent. */
   void endLink(const std::string &Id, bool Silent) {
-    agentTold(Pool, {{Id + ":1"}, WorkerState::Empty, 0, {}, false, {}, Silent},
+    applyAgentReport(Pool, {{Id + ":1"}, WorkerState::Empty, 0, {}, false, {}, Silent},
               Now);
   }
 
@@ -78,7 +78,7 @@
 
   /** Says whether the host of a back end counts as unresponsive. */
   bool isUnresponsive(const std::string &Id) const {
-    return standsStill(Pool.Servers.at({Id}), Now);
+    return isHostUnresponsive(Pool.Servers.at({Id}), Now);
   }
 
   Route TestRoute;
@@ -91,10 +91,10 @@
 // Guards against requests that hang at a paused host.
 BOOST_AUTO_TEST_CASE(AHostThatDoesNotAnswerAProbeIsUnresponsive) {
   HostsFixture All;
-  BOOST_TEST(hostAsked(All.Pool, {"m0"}, All.Now));
+  BOOST_TEST(recordHostProbe(All.Pool, {"m0"}, All.Now));
   All.Now += Millis(100);
   BOOST_TEST(!All.isUnresponsive("m0"));
-  BOOST_TEST(!hostAsked(All.Pool, {"m0"}, All.Now)); // One is pending.
+  BOOST_TEST(!recordHostProbe(All.Pool, {"m0"}, All.Now)); // One is pending.
   All.Now += Millis(200);
   BOOST_TEST(All.isUnresponsive("m0"));
   BOOST_TEST(!All.isChosen("m0"));
@@ -106,9 +106,9 @@
 BOOST_AUTO_TEST_CASE(AHostThatAnswersProbesIsResponsiveHoweverSlowItsEngineIs) {
   HostsFixture All;
   for (int n = 0; n < 20; ++n) {
-    hostAsked(All.Pool, {"m0"}, All.Now);
+    recordHostProbe(All.Pool, {"m0"}, All.Now);
     All.Now += Millis(100);
-    hostHeard(All.Pool, FirstLink);
+    recordAgentActivity(All.Pool, FirstLink);
     BOOST_TEST(!All.isUnresponsive("m0"));
     All.Now += Millis(400);
     BOOST_TEST(!All.isUnresponsive("m0"));
@@ -117,13 +117,13 @@
 
 BOOST_AUTO_TEST_CASE(AnyMessageFromTheHostAnswersAProbe) {
   HostsFixture All;
-  hostAsked(All.Pool, {"m0"}, All.Now);
-  hostHeard(All.Pool, SecondLink); // Another host.
+  recordHostProbe(All.Pool, {"m0"}, All.Now);
+  recordAgentActivity(All.Pool, SecondLink); // Another host.
   All.Now += Millis(300);
   BOOST_TEST(All.isUnresponsive("m0"));
-  serverHeard(All.Pool, {"m0"}, All.Now);
+  recordServerActivity(All.Pool, {"m0"}, All.Now);
   BOOST_TEST(!All.isUnresponsive("m0"));
-  hostAsked(All.Pool, {"m0"}, All.Now);
+  recordHostProbe(All.Pool, {"m0"}, All.Now);
   All.Now += Millis(300);
   BOOST_TEST(All.isUnresponsive("m0"));
   All.sendHeartbeat("m0", FirstLink);
@@ -133,7 +133,7 @@
 // Guards against a worker that is avoided because its agent was killed.
 BOOST_AUTO_TEST_CASE(AHostThatClosesALinkIsResponsive) {
   HostsFixture All;
-  hostAsked(All.Pool, {"m0"}, All.Now);
+  recordHostProbe(All.Pool, {"m0"}, All.Now);
   All.endLink("m0", false);
   All.Now += Millis(300);
   BOOST_TEST(!All.isUnresponsive("m0"));
@@ -158,9 +158,9 @@
   All.Now += Millis(9000);
   BOOST_TEST(!All.isChosen("m0"));
   All.Now += Millis(2000);
-  attemptOpened(All.Pool, {"m1"}); // It also gets one at a time.
+  recordAttemptStart(All.Pool, {"m1"}); // It also gets one at a time.
   BOOST_TEST(All.isChosen("m0"));
-  attemptOpened(All.Pool, {"m0"});
+  recordAttemptStart(All.Pool, {"m0"});
   BOOST_TEST(!All.isChosen("m0"));
 }
 
@@ -176,19 +176,19 @@
 // Guards against a process that takes its own pause for one of all hosts.
 BOOST_AUTO_TEST_CASE(AProbeFromBeforeAPauseOfThisProcessIsDiscarded) {
   HostsFixture All;
-  hostAsked(All.Pool, {"m0"}, All.Now);
+  recordHostProbe(All.Pool, {"m0"}, All.Now);
   All.Now += Millis(5000);
-  forgetQuestion(All.Pool, {"m0"});
+  discardProbe(All.Pool, {"m0"});
   BOOST_TEST(!All.isUnresponsive("m0"));
-  BOOST_TEST(hostAsked(All.Pool, {"m0"}, All.Now));
+  BOOST_TEST(recordHostProbe(All.Pool, {"m0"}, All.Now));
 }
 
 BOOST_AUTO_TEST_CASE(TheUsualFirstPartTimeIsLearned) {
   HostsFixture All;
   const ServiceName Model{"llm"};
-  BOOST_TEST((usualFirstPart(All.Pool, Model, Millis(400)) == Millis(400)));
+  BOOST_TEST((usualFirstPartTime(All.Pool, Model, Millis(400)) == Millis(400)));
   for (int n = 0; n < 50; ++n)
-    firstPartCame(All.Pool, Model, Millis(n % 2 == 0 ? 100 : 200));
-  const Duration Usual = usualFirstPart(All.Pool, Model, Millis(400));
+    recordFirstPartTime(All.Pool, Model, Millis(n % 2 == 0 ? 100 : 200));
+  const Duration Usual = usualFirstPartTime(All.Pool, Model, Millis(400));
   BOOST_TEST((Usual > Millis(150) && Usual < Millis(250)));
 }
--- a/tests/unit/mesh.h
+++ b/tests/unit/mesh.h
@@ -111,7 +111,7 @@
     Dead.erase(Name);
     Effects Out;
     if (!Model)
-      servicePinged(Agents[Name], Outcome<std::string>{Name, {}}, Now, Out);
+      handleServiceProbe(Agents[Name], Outcome<std::string>{Name, {}}, Now, Out);
     perform(Name, Out);
   }
 
@@ -153,7 +153,7 @@
     State.Run = "run";
     State.Weights = Agent.Weights.Wanted.Set;
     Effects Out;
-    engineStateRead(Agent, Outcome<EngineState>{State, {}},
+    handleEngineReport(Agent, Outcome<EngineState>{State, {}},
                     Agent.Weights.OrdersEnded, Now, Out);
     perform(Name, Out);
   }
@@ -164,7 +164,7 @@
       if (!Only.empty() && Only != Name)
         continue;
       Effects Out;
-      entryConfigRead(Entry, Outcome<std::string>{Doc.dump(), {}}, Now, Now,
+      handleEntryConfigRead(Entry, Outcome<std::string>{Doc.dump(), {}}, Now, Now,
                       Out);
       perform(Name, Out);
     }
@@ -177,12 +177,12 @@
     CallRequest CallerRequest;
     CallerRequest.Call.Value = NextCall++;
     CallerRequest.Class.Value = Class;
-    CallerRequest.Tenant.Value = "huts";
+    CallerRequest.Workspace.Value = "huts";
     CallerRequest.Key.Value = Key;
     CallerRequest.Token = Token;
     CallerRequest.Body = Body;
     Effects Out;
-    entryCall(Entries.at(Entry), CallerRequest, Now, Out);
+    startCall(Entries.at(Entry), CallerRequest, Now, Out);
     perform(Entry, Out);
     deliverAll();
     return CallerRequest.Call.Value;
@@ -195,10 +195,10 @@
       Now += Millis(50);
       for (auto &Row : Entries)
         runUnlessStopped(Row.first,
-                         [&](Effects &e) { entryTick(Row.second, Now, e); });
+                         [&](Effects &e) { handleEntryTick(Row.second, Now, e); });
       for (auto &Row : Agents)
         runUnlessStopped(Row.first,
-                         [&](Effects &e) { agentTick(Row.second, Now, e); });
+                         [&](Effects &e) { handleAgentTick(Row.second, Now, e); });
       deliverAll();
     }
   }
@@ -246,9 +246,9 @@
       return;
     Effects Out;
     if (Entries.contains(Name))
-      entryLinkClosed(Entries.at(Name), End, Now, Out);
+      handleEntryLinkClosed(Entries.at(Name), End, Now, Out);
     else
-      agentLinkClosed(Agents.at(Name), End, Now);
+      handleAgentLinkClosed(Agents.at(Name), End, Now);
     perform(Name, Out);
   }
 
@@ -256,9 +256,9 @@
   void notifyOpened(const std::string &Name, LinkId End) {
     Effects Out;
     if (Entries.contains(Name))
-      entryLinkOpened(Entries.at(Name), End, Now, Out);
+      handleEntryLinkOpened(Entries.at(Name), End, Now, Out);
     else
-      agentLinkOpened(Agents.at(Name), End, Now, Out);
+      handleAgentLinkOpened(Agents.at(Name), End, Now, Out);
     perform(Name, Out);
   }
 
@@ -266,9 +266,9 @@
   void deliver(const std::string &Name, LinkId End, const Message &m) {
     Effects Out;
     if (Entries.contains(Name))
-      entryMessage(Entries.at(Name), End, m, Now, Out);
+      handleEntryMessage(Entries.at(Name), End, m, Now, Out);
     else
-      agentMessage(Agents.at(Name), End, m, Now, Out);
+      handleAgentMessage(Agents.at(Name), End, m, Now, Out);
     perform(Name, Out);
   }
 
@@ -331,7 +331,7 @@
   /** Answers a call to an agent's service. */
   void answerServiceCall(const std::string &Agent, const AttemptId &Which) {
     Effects Out;
-    serviceAnswered(
+    handleServiceAnswer(
         Agents.at(Agent), Which,
         Outcome<ServiceAnswer>{ServiceAnswer{200, "done " + Which.Value}, {}},
         Now, Out);
--- a/tests/unit/one_entry.h
+++ b/tests/unit/one_entry.h
@@ -52,21 +52,21 @@
 
   /** Handles a successful read of the configuration service. */
   void receiveConfig(const std::string &Text) {
-    entryConfigRead(State, {Text, {}}, Now, Now, Out);
+    handleEntryConfigRead(State, {Text, {}}, Now, Now, Out);
   }
 
   /** Advances the clock in ticks of 50 ms. */
   void advanceClock(Millis Time) {
     for (Millis n{0}; n < Time; n += Millis{50}) {
       Now += Millis{50};
-      entryTick(State, Now, Out);
+      handleEntryTick(State, Now, Out);
     }
   }
 
   /** Opens a wanted link and receives the first message of its peer. */
   LinkId connectPeer(const std::string &Name, uint64_t Version, bool Fresh) {
     const LinkId Link = *State.Fleet.Wanted.at(HostName{Name}).Link;
-    entryLinkOpened(State, Link, Now, Out);
+    handleEntryLinkOpened(State, Link, Now, Out);
     Hello Peer;
     Peer.Sender = Name == "w" ? Role::Agent : Role::Entry;
     Peer.Run.Value = 11;
@@ -74,13 +74,13 @@
     Peer.Domain.Value = "d"; // As in document().
     Peer.Version.Value = Version;
     Peer.Fresh = Fresh;
-    entryMessage(State, Link, Peer, Now, Out);
+    handleEntryMessage(State, Link, Peer, Now, Out);
     return Link;
   }
 
   /** Receives a document from a peer; empty text for no newer one. */
   void receiveDocument(LinkId Link, const std::string &Text, bool Fresh) {
-    entryMessage(State, Link, ConfigPush{Text, Fresh}, Now, Out);
+    handleEntryMessage(State, Link, ConfigPush{Text, Fresh}, Now, Out);
   }
 
   /** Opens the links to all peers, which have no newer document. */
@@ -121,7 +121,7 @@
 
   /** Receives a message from a peer. */
   void receiveMessage(const std::string &Name, const Message &m) {
-    entryMessage(State, linkOf(Name), m, Now, Out);
+    handleEntryMessage(State, linkOf(Name), m, Now, Out);
   }
 
   /** Sends a call; gives its error, or nothing when it was sent on. */
@@ -130,8 +130,8 @@
     CallRequest Request;
     Request.Call.Value = ++Calls;
     Request.Class.Value = "r";
-    Request.Tenant.Value = "x";
-    entryCall(State, Request, Now, Out);
+    Request.Workspace.Value = "x";
+    startCall(State, Request, Now, Out);
     for (const Effect &e : Out)
       if (const auto *Error = std::get_if<CallError>(&e);
           Error != nullptr && Error->Call == Request.Call)
@@ -142,7 +142,7 @@
   /** Version of the document in force. */
   uint64_t version() const { return versionInForce(State.View).Value; }
   /** True while the configuration of the entry is fresh. */
-  bool fresh() const { return viewIsFresh(State.Fleet); }
+  bool fresh() const { return isViewFresh(State.Fleet); }
 
   TimePoint Now{std::chrono::hours{1}};
   EntryState State;
--- a/tests/unit/one_host.h
+++ b/tests/unit/one_host.h
@@ -49,30 +49,30 @@
     Config.ChunkTakeoverMillis = 1000;
     Config.LinkMegabits = LinkMegabits;
     Transfer = makeTransfer(Config);
-    chunkPeerReady(Transfer, PeerA, {"w1"}, true);
-    chunkPeerReady(Transfer, PeerB, {"w2"}, true);
+    addChunkPeer(Transfer, PeerA, {"w1"}, true);
+    addChunkPeer(Transfer, PeerB, {"w2"}, true);
   }
 
   /** Selects a version for loading and plans its transfer. */
   void setWantedVersion(const ModelVersion &Model) {
-    wantWeights(Weights, Model);
-    planTransfer(Transfer, Weights, Doc, Self, Now);
+    setWantedWeights(Weights, Model);
+    updateTransferPlan(Transfer, Weights, Doc, Self, Now);
   }
   /** Handles a peer's notice of its chunks; each argument is a bit mask. */
   void receiveHeldChunks(LinkId Link, uint8_t Held, uint8_t Coming = 0) {
-    chunkHaveHeard(Transfer, Link, {Weights.Wanted.Set, {Held}, {Coming}}, Now);
+    recordAnnouncement(Transfer, Link, {Weights.Wanted.Set, {Held}, {Coming}}, Now);
   }
   /** Handles a peer's answer to the request for chunk Asked. */
   void receiveChunk(LinkId Link, const std::string &Asked, const std::string &Came) {
-    chunkFromPeer(Transfer, Weights, Link, sha256(Asked),
-                  checkChunk(makeChunkBytes(Came)), Now, Out);
+    receiveChunkFromPeer(Transfer, Weights, Link, sha256(Asked),
+                  digestChunk(makeChunkBytes(Came)), Now, Out);
   }
   /** Advances the clock, lets chunks be requested, and gives the links to the
    * peers that were asked. */
   std::vector<LinkId> advanceAndListAskedPeers(Millis Passed = Millis(0)) {
     Now += Passed;
     Out.clear();
-    moveChunks(Transfer, Weights, Now, Out);
+    advanceTransfer(Transfer, Weights, Now, Out);
     std::vector<LinkId> Links;
     for (const Effect &One : Out)
       if (const auto *Send = std::get_if<SendMessage>(&One);
--- a/tests/unit/pause_test.cpp
+++ b/tests/unit/pause_test.cpp
@@ -52,15 +52,15 @@
   BOOST_TEST((sendCall() == ErrorKind::StaleView));
   BOOST_TEST(countClosedLinks(Out) == 4U);
   BOOST_TEST((State.Fleet.Self.Run != Before));
-  entryMessage(State, Old, nextHeartbeat("w"), Now, Out); // Sent before the pause.
+  handleEntryMessage(State, Old, nextHeartbeat("w"), Now, Out); // Sent before the pause.
   BOOST_TEST(State.Fleet.Links.empty());
-  entryConfigRead(State, {std::string(), {}}, Now - std::chrono::seconds{20},
+  handleEntryConfigRead(State, {std::string(), {}}, Now - std::chrono::seconds{20},
                   Now, Out); // Read that began before the pause.
   BOOST_TEST(!State.Fleet.Joining.ServiceAnswered);
   // Counted as contact, that answer would let this entry report to all others
   // that the service answers, which may have gone down meanwhile. Servers whose
   // registration expired in the outage would then count as gone.
-  BOOST_TEST(!State.Fleet.Joining.ServiceHeard);
+  BOOST_TEST(!State.Fleet.Joining.LastServiceAnswerAt);
   connectAllPeers(5);
   receiveMessage("w", nextHeartbeat("w"));
   BOOST_TEST(!sendCall());
@@ -104,15 +104,15 @@
 // to acknowledge its leaving can answer; peers that reconnect must not count.
 BOOST_AUTO_TEST_CASE(APeerThatReconnectsDoesNotDelayAShutdown) {
   announceLeaving(State.Fleet, State.View, Now, Out);
-  BOOST_TEST(!leavingIsKnown(State.Fleet));
+  BOOST_TEST(!isLeavingAcknowledged(State.Fleet));
   for (auto &[Link, Peer] : State.Fleet.Links)
     Peer.Answered = true;
-  BOOST_TEST(leavingIsKnown(State.Fleet));
-  entryLinkOpened(State, LinkId{FirstAcceptedLink + 9}, Now, Out);
+  BOOST_TEST(isLeavingAcknowledged(State.Fleet));
+  handleEntryLinkOpened(State, LinkId{FirstAcceptedLink + 9}, Now, Out);
   Hello Back;
   Back.Name.Value = "w";
-  entryMessage(State, LinkId{FirstAcceptedLink + 9}, Back, Now, Out);
-  BOOST_TEST(leavingIsKnown(State.Fleet));
+  handleEntryMessage(State, LinkId{FirstAcceptedLink + 9}, Back, Now, Out);
+  BOOST_TEST(isLeavingAcknowledged(State.Fleet));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/place_search_test.cpp
+++ b/tests/unit/place_search_test.cpp
@@ -37,26 +37,26 @@
 /** Back ends that entries choose at random, as reported loads are too old. */
 struct FleetModel {
   FleetModel() : Debts(BackEnds) {
-    for (ReadingDebt &One : Debts)
+    for (PrefillQueue &One : Debts)
       One.TokensPerSecond = TokensPerSecond;
   }
 
   /** Sends a request, and gives the prefill backlog at the back end that
    * accepts it. */
   Duration sendRequest(bool Search) {
-    PlaceSearch State;
+    SlotSearch State;
     std::set<size_t> Asked;
     for (;;) {
       size_t n = nextRandom(Random) % BackEnds;
       while (Asked.contains(n))
         n = nextRandom(Random) % BackEnds;
       Asked.insert(n);
-      const Duration Left = readingLeft(Debts[n], Now);
-      const Millis Most = Search ? mostReading(State) : Millis{0};
-      placeAsked(State);
+      const Duration Left = prefillTimeLeft(Debts[n], Now);
+      const Millis Most = Search ? maxPrefillBacklog(State) : Millis{0};
+      recordSlotRequest(State);
       if (Most.count() > 0 && Left > Most)
         continue;
-      addReading(Debts[n], PromptTokens, Now);
+      addPrompt(Debts[n], PromptTokens, Now);
       return Left;
     }
   }
@@ -76,7 +76,7 @@
     return Found[Found.size() * 95 / 100];
   }
 
-  std::vector<ReadingDebt> Debts;
+  std::vector<PrefillQueue> Debts;
   TimePoint Now{std::chrono::hours(1)};
   uint64_t Random = 42;
 };
@@ -94,40 +94,40 @@
 }
 
 BOOST_AUTO_TEST_CASE(BusyBackEndsAreAskedAgainIfNoneIsIdle) {
-  PlaceSearch Search;
+  SlotSearch Search;
   ServerNeeds Needs;
-  while (mostReading(Search).count() > 0) {
-    BOOST_TEST(mayAskMore(Search));
-    placeAsked(Search);
-    placeRefused(Search, Needs, A, true);
+  while (maxPrefillBacklog(Search).count() > 0) {
+    BOOST_TEST(mayRequestMoreSlots(Search));
+    recordSlotRequest(Search);
+    recordSlotRefusal(Search, Needs, A, true);
   }
   BOOST_TEST(!Needs.Full.contains(A));
-  BOOST_TEST(mayAskMore(Search));
-  placeAsked(Search);
-  placeRefused(Search, Needs, A, true);
+  BOOST_TEST(mayRequestMoreSlots(Search));
+  recordSlotRequest(Search);
+  recordSlotRefusal(Search, Needs, A, true);
   BOOST_TEST(Needs.Full.contains(A));
 }
 
 // A back end that loads weights, or whose agent does not reply, has no slot
 // later either.
 BOOST_AUTO_TEST_CASE(ABackEndThatCannotServeIsNotAskedAgain) {
-  PlaceSearch Search;
+  SlotSearch Search;
   ServerNeeds Needs;
-  placeAsked(Search);
-  placeRefused(Search, Needs, A, false);
-  placeAsked(Search);
-  placeRefused(Search, Needs, B, true);
-  BOOST_TEST(takeBusyOnes(Search, Needs));
+  recordSlotRequest(Search);
+  recordSlotRefusal(Search, Needs, A, false);
+  recordSlotRequest(Search);
+  recordSlotRefusal(Search, Needs, B, true);
+  BOOST_TEST(reconsiderBusyServers(Search, Needs));
   BOOST_TEST(Needs.Full.contains(A));
   BOOST_TEST(!Needs.Full.contains(B));
-  BOOST_TEST(mostReading(Search).count() == 0);
+  BOOST_TEST(maxPrefillBacklog(Search).count() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(SlotRequestsAreLimited) {
-  PlaceSearch Search;
+  SlotSearch Search;
   size_t Asks = 0;
-  while (mayAskMore(Search)) {
-    placeAsked(Search);
+  while (mayRequestMoreSlots(Search)) {
+    recordSlotRequest(Search);
     ++Asks;
   }
   BOOST_TEST(Asks >= 4);
