--- a/tests/unit/place_test.cpp
+++ b/tests/unit/place_test.cpp
@@ -47,19 +47,19 @@
 
   /** Requests a slot. Returns the answer, or nothing when the request waits.
    */
-  std::optional<PlaceAnswer> requestSlot(const std::string &Id, Millis Wait,
+  std::optional<SlotAnswer> requestSlot(const std::string &Id, Millis Wait,
                                          uint32_t Prompt = 0, uint32_t Rank = 1,
                                          LinkId Link = EntryA,
-                                         uint32_t MostReading = 0,
+                                         uint32_t MaxBacklogToRequest = 0,
                                          bool Spare = false) {
     Out.clear();
-    PlaceAsk m;
+    SlotRequest m;
     m.SlotId.Value = Id;
-    m.Tenant.Value = "t";
+    m.Workspace.Value = "t";
     m.Rank = Rank;
     m.WaitMillis = static_cast<uint64_t>(Wait.count());
     m.PromptTokens = Prompt;
-    m.MaxReadingMillis = MostReading;
+    m.MaxPrefillBacklogMillis = MaxBacklogToRequest;
     m.SpareOnly = Spare;
     handleSlotRequest(Agent, Link, m, Now, Out);
     return lastAnswer(Id);
@@ -72,11 +72,11 @@
   }
 
   /** Finds the answer to a request for a slot in the latest effects. */
-  std::optional<PlaceAnswer> lastAnswer(const std::string &Id) const {
-    std::optional<PlaceAnswer> Found;
+  std::optional<SlotAnswer> lastAnswer(const std::string &Id) const {
+    std::optional<SlotAnswer> Found;
     for (const Effect &One : Out)
       if (const auto *Sent = std::get_if<SendMessage>(&One))
-        if (const auto *m = std::get_if<PlaceAnswer>(&Sent->Content))
+        if (const auto *m = std::get_if<SlotAnswer>(&Sent->Content))
           if (m->SlotId.Value == Id)
             Found = *m;
     return Found;
@@ -152,18 +152,18 @@
   BOOST_TEST(!Test.requestSlot("b", Millis(500), 3000).has_value());
   Test.Now += Millis(100);
   Test.Out.clear();
-  agentTick(Test.Agent, Test.Now, Test.Out);
+  handleAgentTick(Test.Agent, Test.Now, Test.Out);
   BOOST_TEST(!Test.isGranted("b"));
   Test.Now += Millis(120);
   Test.Out.clear();
-  agentTick(Test.Agent, Test.Now, Test.Out);
+  handleAgentTick(Test.Agent, Test.Now, Test.Out);
   BOOST_TEST(Test.isGranted("b"));
 }
 
 BOOST_AUTO_TEST_CASE(AnswerContainsRemainingReadingTime) {
   AgentFixture Test;
   Test.Agent.Prefill.TokensPerSecond = 10000;
-  BOOST_TEST(Test.requestSlot("a", Millis(500), 500)->ReadingMillis == 50U);
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 500)->PrefillBacklogMillis == 50U);
 }
 
 BOOST_AUTO_TEST_CASE(SlotsOfADeadEntryAreReleased) {
@@ -184,7 +184,7 @@
   EngineState Idle;
   Idle.Run = "run 1";
   Idle.Weights.Value = "m@1";
-  engineStateRead(Test.Agent, {Idle, {}}, 0, Test.Now, Test.Out);
+  handleEngineReport(Test.Agent, {Idle, {}}, 0, Test.Now, Test.Out);
   BOOST_TEST(Test.isGranted("c"));
 }
 
@@ -226,7 +226,7 @@
   const auto Refused = Test.requestSlot("b", Millis(500), 50, 1, EntryA, 20);
   BOOST_TEST(!Refused->Granted);
   BOOST_TEST((Refused->Why == ErrorKind::Overloaded));
-  BOOST_TEST(Refused->ReadingMillis == 50);
+  BOOST_TEST(Refused->PrefillBacklogMillis == 50);
   BOOST_TEST(Test.requestSlot("c", Millis(500), 50, 1, EntryA, 60)->Granted);
   BOOST_TEST(!Test.requestSlot("d", Millis(500))
                   .has_value()); // Queued: the limit is two.
@@ -283,7 +283,7 @@
   BOOST_TEST(!Test.requestSlot("late", Millis(1000), 0, 1, EntryA, 0, true)
                   .has_value());
   Test.Out.clear();
-  agentStop(Test.Agent, Test.Now, Test.Out);
+  beginAgentShutdown(Test.Agent, Test.Now, Test.Out);
   BOOST_TEST((Test.lastAnswer("late")->Why == ErrorKind::Leaving));
   BOOST_TEST(Test.Agent.SlotsById.size() == 2U);
 }
@@ -295,8 +295,8 @@
   // every slot.
   AgentFixture Test;
   Test.Agent.Config.WeightsChangeMillis = 8000;
-  Test.Agent.Weights.AtEngine = true;
-  noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
+  Test.Agent.Weights.StagedAtEngine = true;
+  recordNewestSet(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
   BOOST_TEST(Test.requestSlot("soon", Millis(0))->Granted);
   Test.Now += Millis(8000);
   const auto Late = Test.requestSlot("late", Millis(0));
@@ -308,8 +308,8 @@
 BOOST_AUTO_TEST_CASE(QueuedRequestIsRefusedWhenWeightsBecomeOutdated) {
   AgentFixture Test;
   Test.Agent.Config.WeightsChangeMillis = 8000;
-  Test.Agent.Weights.AtEngine = true;
-  noteNewest(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
+  Test.Agent.Weights.StagedAtEngine = true;
+  recordNewestSet(Test.Agent.Weights, Digest{"m@2"}, Test.Now);
   Test.Now += Millis(6700);
   Test.requestSlot("a", Millis(500));
   Test.requestSlot("b", Millis(500));
@@ -322,11 +322,11 @@
 }
 
 /** Builds a request for a slot with a target time for its first part. */
-PlaceAsk requestWithTarget(const std::string &Id, Millis Time,
+SlotRequest requestWithTarget(const std::string &Id, Millis Time,
                            uint32_t Prompt) {
-  PlaceAsk m;
+  SlotRequest m;
   m.SlotId.Value = Id;
-  m.Tenant.Value = "t";
+  m.Workspace.Value = "t";
   m.WaitMillis = m.FirstPartMillis = static_cast<uint64_t>(Time.count());
   m.PromptTokens = Prompt;
   return m;
@@ -340,7 +340,7 @@
   AgentFixture Test;
   Test.Agent.Prefill.TokensPerSecond = 10000;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
+    recordFirstPart(Test.Agent.FirstPart, Millis(220), Millis(0));
   Test.requestSlot("a", Millis(500));
   Test.requestSlot("b", Millis(500));
   Test.Out.clear();
@@ -362,7 +362,7 @@
 BOOST_AUTO_TEST_CASE(QueuedRequestThatIsLateByNowIsRefused) {
   AgentFixture Test;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(Test.Agent.FirstPart, Millis(220), Millis(0));
+    recordFirstPart(Test.Agent.FirstPart, Millis(220), Millis(0));
   Test.requestSlot("a", Millis(500));
   Test.requestSlot("b", Millis(500));
   handleSlotRequest(Test.Agent, EntryA, requestWithTarget("c", Millis(380), 0),
@@ -379,7 +379,7 @@
   // A late answer is better than none while no other request is delayed.
   AgentFixture Test;
   for (int n = 0; n < 50; ++n)
-    firstPartSeen(Test.Agent.FirstPart, Millis(900), Millis(0));
+    recordFirstPart(Test.Agent.FirstPart, Millis(900), Millis(0));
   handleSlotRequest(Test.Agent, EntryA, requestWithTarget("a", Millis(380), 0),
                     Test.Now, Test.Out);
   BOOST_TEST(Test.isGranted("a"));
@@ -419,7 +419,7 @@
   TimePoint Now{std::chrono::hours(1)};
   Effects Out;
   AgentState Agent = makeAgent(Config, Incarnation{1}, Now);
-  agentLinkOpened(Agent, EntryA, Now, Out);
+  handleAgentLinkOpened(Agent, EntryA, Now, Out);
   Agent.Fleet.Links[EntryA].State = LinkState::Ready;
   const std::string Digest(64, 'a');
   const ConfigPush Push{
@@ -433,7 +433,7 @@
           "servers": [{"id": "i", "service": "s", "at": "10.0.0.1:9", "domain": "d",
                        "slots": 15}]})",
       true};
-  agentMessage(Agent, EntryA, Push, Now, Out);
+  handleAgentMessage(Agent, EntryA, Push, Now, Out);
   BOOST_TEST_REQUIRE(Agent.View.InForce.get(), Agent.View.LastRefusal);
   BOOST_TEST(Agent.Gate.Limit == 16U);
 }
@@ -445,7 +445,7 @@
   BOOST_TEST(Test.requestSlot("a", Millis(0))->Granted);
   Test.Agent.Fleet.Links[EntryA].State = LinkState::Ready;
   Test.Out.clear();
-  agentMessage(Test.Agent, EntryA, Ping{3}, Test.Now, Test.Out);
+  handleAgentMessage(Test.Agent, EntryA, Ping{3}, Test.Now, Test.Out);
   BOOST_REQUIRE(Test.Out.size() == 1U);
   const auto &Sent = std::get<SendMessage>(Test.Out.front());
   BOOST_TEST((Sent.Link == EntryA));
@@ -552,11 +552,11 @@
     EngineState State;
     State.Run = Run;
     State.Weights.Value = "m@1";
-    engineStateRead(Test.Agent, {State, {}}, 0, Test.Now, Test.Out);
+    handleEngineReport(Test.Agent, {State, {}}, 0, Test.Now, Test.Out);
   };
   Report("run 1");
   handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
-  engineStateRead(Test.Agent, {std::nullopt, {ErrorKind::Unreachable, "", {}}},
+  handleEngineReport(Test.Agent, {std::nullopt, {ErrorKind::Unreachable, "", {}}},
                   0, Test.Now, Test.Out);
   Report("run 1");
   BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
@@ -573,7 +573,7 @@
     State.Run = "run 1";
     State.PerSecond = PerSecond;
     Test.Now += Millis(200);
-    engineStateRead(Test.Agent, {State, {}}, 0, Test.Now, Test.Out);
+    handleEngineReport(Test.Agent, {State, {}}, 0, Test.Now, Test.Out);
     return Test.Agent.Rate.PerSecond;
   };
   Report({});
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -40,7 +40,7 @@
   /** Ends a run at an engine with an error. */
   void failRun(const std::string &Name, const AttemptId &Which, ErrorKind Why) {
     Effects Out;
-    engineEnded(Agents.at(Name), Which, {{}, {Why, "", {}}}, Now, Out);
+    handleEngineEnd(Agents.at(Name), Which, {{}, {Why, "", {}}}, Now, Out);
     perform(Name, Out);
     deliverAll();
   }
@@ -53,7 +53,7 @@
         continue;
       }
       Effects Out;
-      engineStateRead(Agent, {{}, {ErrorKind::Unreachable, "", {}}},
+      handleEngineReport(Agent, {{}, {ErrorKind::Unreachable, "", {}}},
                       Agent.Weights.OrdersEnded, Now, Out);
       perform(Name, Out);
     }
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -13,7 +13,7 @@
   /** Applies a notice of a death; true when it is news. */
   bool reportDeath(const std::string &Death, bool Alone = false,
                    uint64_t AgeMillis = 0) {
-    return noteSuspect(State, {Fingerprint, Death, AgeMillis, Alone, false},
+    return applySuspectNotice(State, {Fingerprint, Death, AgeMillis, Alone, false},
                        Now);
   }
   /** Gives how the request is to be treated now. */
@@ -21,7 +21,7 @@
     return static_cast<int>(suspicionOf(State, Fingerprint, Now));
   }
   const Digest Fingerprint =
-      fingerprintOf(TenantName{"huts"}, ClassName{"reports"}, "body");
+      fingerprintOf(WorkspaceName{"huts"}, ClassName{"reports"}, "body");
   const int None = static_cast<int>(Suspicion::None);
   const int RunAlone = static_cast<int>(Suspicion::RunAlone);
   const int Refuse = static_cast<int>(Suspicion::Refuse);
@@ -40,10 +40,10 @@
   BOOST_TEST(suspicion() == RunAlone);
   BOOST_TEST(reportDeath("w2/9"));
   BOOST_TEST(suspicion() == Refuse);
-  BOOST_TEST(refusedFor(State, Fingerprint, Now).count() > 0);
+  BOOST_TEST(refusalTimeLeft(State, Fingerprint, Now).count() > 0);
   Now += Millis{61000};
   BOOST_TEST(suspicion() == None);
-  forgetSuspects(State, Now);
+  dropExpiredSuspects(State, Now);
   BOOST_TEST(State.Suspects.empty());
 }
 
@@ -63,13 +63,13 @@
   BOOST_REQUIRE(Out.size() == 1U);
   const auto &Sent = std::get<SendMessage>(Out.front());
   const auto Notice = std::get<SuspectNotice>(Sent.Content);
-  BOOST_TEST(noteSuspect(Other, Notice, Now));
-  BOOST_TEST(!noteSuspect(Other, Notice, Now)); // No news: not forwarded.
+  BOOST_TEST(applySuspectNotice(Other, Notice, Now));
+  BOOST_TEST(!applySuspectNotice(Other, Notice, Now)); // No news: not forwarded.
   // The old notice, forwarded late, is not applied again.
-  BOOST_TEST(!noteSuspect(Other, {Fingerprint, "w1/7", 0, false, false}, Now));
+  BOOST_TEST(!applySuspectNotice(Other, {Fingerprint, "w1/7", 0, false, false}, Now));
   BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) == None);
   // A later death counts as the first one.
-  noteSuspect(Other, {Fingerprint, "w2/9", 0, false, false}, Now);
+  applySuspectNotice(Other, {Fingerprint, "w2/9", 0, false, false}, Now);
   BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) ==
              RunAlone);
 }
@@ -78,13 +78,13 @@
   reportDeath("w1/7");
   Now += Millis{40000};
   Effects Out;
-  tellSuspects(State, LinkId{1}, Now, Out);
+  sendSuspects(State, LinkId{1}, Now, Out);
   BOOST_REQUIRE(Out.size() == 1U);
   const auto &Sent = std::get<SendMessage>(Out.front());
   const auto Notice = std::get<SuspectNotice>(Sent.Content);
   BOOST_TEST(Notice.AgeMillis == 40000U);
   Quarantine Other;
-  BOOST_TEST(noteSuspect(Other, Notice, Now));
+  BOOST_TEST(applySuspectNotice(Other, Notice, Now));
   Now += Millis{21000};
   BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) == None);
   BOOST_TEST(!reportDeath("w3/1", false, 61000)); // Already expired.
@@ -93,8 +93,8 @@
 // Workspace and body must not concatenate to the same fingerprint.
 BOOST_AUTO_TEST_CASE(FingerprintsSeparateFields) {
   const ClassName Class{"reports"};
-  BOOST_TEST(fingerprintOf(TenantName{"ab"}, Class, "c").Value !=
-             fingerprintOf(TenantName{"a"}, Class, "bc").Value);
+  BOOST_TEST(fingerprintOf(WorkspaceName{"ab"}, Class, "c").Value !=
+             fingerprintOf(WorkspaceName{"a"}, Class, "bc").Value);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/repeat_budget_test.cpp
+++ b/tests/unit/repeat_budget_test.cpp
@@ -21,7 +21,7 @@
 /** Takes all retries that are left, and gives their number. */
 uint32_t takeAllRepeats(RepeatBudget &Budget, uint32_t Entries, TimePoint Now) {
   uint32_t n = 0;
-  while (n < 10000 && mayRepeat(Budget, Service, Entries, Now))
+  while (n < 10000 && takeRepeat(Budget, Service, Entries, Now))
     ++n;
   return n;
 }
@@ -45,7 +45,7 @@
   RepeatBudget Limiter = makeBudget(0.2, 0);
   BOOST_TEST(takeAllRepeats(Limiter, 1, TimePoint{}) == 0U);
   for (int n = 0; n < 100; ++n)
-    countFirst(Limiter, Service, TimePoint{});
+    countFirstAttempt(Limiter, Service, TimePoint{});
   BOOST_TEST(takeAllRepeats(Limiter, 1, TimePoint{}) == 14U); // 0.7 x 0.2 x 100
 }
 
@@ -61,6 +61,6 @@
 BOOST_AUTO_TEST_CASE(CheckingTheBudgetTakesNothing) {
   RepeatBudget Limiter = makeBudget(0, 10);
   for (int n = 0; n < 100; ++n)
-    BOOST_TEST(repeatsLeft(Limiter, Service, 1, TimePoint{}));
+    BOOST_TEST(hasRepeatsLeft(Limiter, Service, 1, TimePoint{}));
   BOOST_TEST(takeAllRepeats(Limiter, 1, TimePoint{}) == 7U);
 }
--- a/tests/unit/retry_budget_test.cpp
+++ b/tests/unit/retry_budget_test.cpp
@@ -30,17 +30,17 @@
 
 // A workspace whose requests keep failing must not use up the retries of
 // another. The number of buckets is bounded.
-BOOST_AUTO_TEST_CASE(TenantsDoNotShareABudget) {
+BOOST_AUTO_TEST_CASE(WorkspacesDoNotShareABudget) {
   RetryBudget Budget;
   const ClassName Class{"c"};
   const TimePoint Now{};
   for (const char *Name : {"large", "small"})
-    creditFirstAttempt(Budget, Class, TenantName{Name}, Now);
-  while (trySpendRetry(Budget, Class, TenantName{"large"}))
+    creditFirstAttempt(Budget, Class, WorkspaceName{Name}, Now);
+  while (trySpendRetry(Budget, Class, WorkspaceName{"large"}))
     continue;
-  BOOST_TEST(trySpendRetry(Budget, Class, TenantName{"small"}));
+  BOOST_TEST(trySpendRetry(Budget, Class, WorkspaceName{"small"}));
   for (size_t n = 0; n < 2 * MaxRetryBuckets; ++n)
-    creditFirstAttempt(Budget, Class, TenantName{std::to_string(n)},
+    creditFirstAttempt(Budget, Class, WorkspaceName{std::to_string(n)},
                        Now + Millis(1 + n));
   BOOST_TEST(Budget.Buckets.size() == MaxRetryBuckets);
 }
--- a/tests/unit/rollout_test.cpp
+++ b/tests/unit/rollout_test.cpp
@@ -49,7 +49,7 @@
       ModelVersion Model;
       Model.Chunks = {sha256(Text)};
       Model.Set = weightsSetDigest(Model.Chunks);
-      wantWeights(Agent.Weights, Model);
+      setWantedWeights(Agent.Weights, Model);
       Agent.Weights.Held[sha256(Text)] =
           std::make_shared<const std::string>(Text);
       (Text == "old" ? Old : New) = Model.Set;
@@ -93,7 +93,7 @@
     Read.Run = Run;
     Read.Weights = Set;
     Effects Out;
-    engineStateRead(Agent, {Read, {}}, Agent.Weights.OrdersEnded, Now, Out);
+    handleEngineReport(Agent, {Read, {}}, Agent.Weights.OrdersEnded, Now, Out);
     return Read;
   }
 
@@ -175,7 +175,7 @@
   Ordering.readEngine("run", Ordering.Old); // Read before the order ended.
   BOOST_TEST(!mayServe(Ordering.Agent.Weights));
   Effects Out;
-  loadEnded(Ordering.Agent, std::nullopt, Ordering.Now, Out);
+  handleLoadResult(Ordering.Agent, std::nullopt, Ordering.Now, Out);
   BOOST_TEST(!mayServe(Ordering.Agent.Weights));
   Ordering.readEngine("run", Ordering.New);
   BOOST_TEST(mayServe(Ordering.Agent.Weights));
@@ -191,7 +191,7 @@
   ModelVersion Back;
   Back.Chunks = {sha256("old")};
   Back.Set = One.Old;
-  wantWeights(One.Agent.Weights, Back);
+  setWantedWeights(One.Agent.Weights, Back);
   BOOST_TEST(mayServe(One.Agent.Weights));
 }
 
@@ -227,7 +227,7 @@
 BOOST_AUTO_TEST_CASE(AnEmptyEngineOnTheOwnHostLoadsAtOnce) {
   RolloutWorker One(0.0);
   One.Agent.Fleet.Joining.Fresh = false;
-  One.Agent.Weights.AtEngine = true;
+  One.Agent.Weights.StagedAtEngine = true;
   BOOST_TEST(
       !One.ordersLoad()); // It serves weights that may be the wanted ones.
   One.readEngine("other run", Digest{}); // Restarted: the load is ordered.
@@ -239,11 +239,11 @@
 // turn.
 BOOST_AUTO_TEST_CASE(WeightsTooOldToServeAreReplacedOutOfTurn) {
   RolloutWorker One(0.75);
-  One.Agent.Weights.AtEngine = true;
+  One.Agent.Weights.StagedAtEngine = true;
   One.Agent.Config.WeightsChangeMillis = 8000;
   One.setPredecessor(0, One.Old);
   One.setPredecessor(1, One.Old);
-  noteNewest(One.Agent.Weights, One.New, One.Now);
+  recordNewestSet(One.Agent.Weights, One.New, One.Now);
   BOOST_TEST(!One.ordersLoad(Millis(6500)));
   BOOST_TEST(One.ordersLoad(Millis(500)));
 }
@@ -253,13 +253,13 @@
 BOOST_AUTO_TEST_CASE(AFurtherVersionDoesNotExtendTheUseOfAReplacedOne) {
   WeightsState Weights;
   const TimePoint Start{Millis(1000)};
-  noteLoaded(Weights, Digest{"1"});
-  noteNewest(Weights, Digest{"2"}, Start);
-  noteNewest(Weights, Digest{"3"}, Start + Millis(2000));
+  recordLoadedSet(Weights, Digest{"1"});
+  recordNewestSet(Weights, Digest{"2"}, Start);
+  recordNewestSet(Weights, Digest{"3"}, Start + Millis(2000));
   BOOST_TEST((Weights.OutdatedSince == Start));
-  noteLoaded(Weights, Digest{"2"});
+  recordLoadedSet(Weights, Digest{"2"});
   BOOST_TEST((Weights.OutdatedSince == Start + Millis(2000)));
-  noteLoaded(Weights, Digest{"3"});
+  recordLoadedSet(Weights, Digest{"3"});
   BOOST_TEST(!Weights.OutdatedSince);
 }
 
@@ -269,11 +269,11 @@
 BOOST_AUTO_TEST_CASE(AFailedOrderDoesNotExtendTheUseOfReplacedWeights) {
   WeightsState Weights;
   const TimePoint Start{Millis(1000)};
-  noteLoaded(Weights, Digest{"1"});
-  noteNewest(Weights, Digest{"2"}, Start);
-  noteNewest(Weights, Digest{"3"}, Start + Millis(5000));
-  orderEnded(Weights, false, Start + Millis(6000));
-  noteLoaded(Weights, Digest{"1"});
+  recordLoadedSet(Weights, Digest{"1"});
+  recordNewestSet(Weights, Digest{"2"}, Start);
+  recordNewestSet(Weights, Digest{"3"}, Start + Millis(5000));
+  recordOrderEnd(Weights, false, Start + Millis(6000));
+  recordLoadedSet(Weights, Digest{"1"});
   BOOST_TEST((Weights.OutdatedSince == Start));
 }
 
@@ -285,7 +285,7 @@
     Weights.EngineRun = "run 1";
     Weights.Wanted.Set = Set;
     order();
-    orderUnconfirmed(Weights);
+    markOrderUnconfirmed(Weights);
   }
 
   /** Sends an order to load the wanted set. */
@@ -308,7 +308,7 @@
   BOOST_TEST(confirmedSet(Weights, "run 1", Set).Value.empty());
   BOOST_TEST((confirmedSet(Weights, "run 1", Digest{"m@1"}) == Digest{"m@1"}));
   BOOST_TEST(order().ForceReload);
-  orderConfirmed(Weights);
+  markOrderConfirmed(Weights);
   BOOST_TEST((confirmedSet(Weights, "run 1", Set) == Set));
 }
 
--- a/tests/unit/roster_test.cpp
+++ b/tests/unit/roster_test.cpp
@@ -44,7 +44,7 @@
   for (const Effect &One : Out)
     if (const auto *Sent = std::get_if<SendMessage>(&One);
         Sent != nullptr && Sent->Link == Link)
-      if (const auto *Seen = std::get_if<EntrySeen>(&Sent->Content))
+      if (const auto *Seen = std::get_if<EntryNotice>(&Sent->Content))
         Names.push_back(Seen->Name.Value);
   return Names;
 }
@@ -89,18 +89,18 @@
 BOOST_AUTO_TEST_CASE(AnEntryThatIsKnownIsNotAnnouncedAgain) {
   Membership Fleet = membershipOf(entryHello("e1"));
   Effects Out;
-  const EntrySeen Seen{{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}};
-  BOOST_TEST(handleEntrySeen(Fleet, Seen, {}, Out));
-  BOOST_TEST(!handleEntrySeen(Fleet, Seen, {}, Out));
+  const EntryNotice Seen{{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}};
+  BOOST_TEST(handleEntryNotice(Fleet, Seen, {}, Out));
+  BOOST_TEST(!handleEntryNotice(Fleet, Seen, {}, Out));
   BOOST_TEST(
-      !handleEntrySeen(Fleet, {{"e1"}, {"d"}, {"x:1"}, {"x:2"}}, {}, Out));
+      !handleEntryNotice(Fleet, {{"e1"}, {"d"}, {"x:1"}, {"x:2"}}, {}, Out));
 }
 
 BOOST_AUTO_TEST_CASE(AnEntryWithoutALinkIsRemovedAfterAMinute) {
   Membership Fleet = membershipOf(entryHello("e1"));
   Effects Out;
-  handleEntrySeen(Fleet, {{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}}, {}, Out);
-  handleEntrySeen(Fleet, {{"e3"}, {"d"}, {"e3:1"}, {"e3:2"}}, {}, Out);
+  handleEntryNotice(Fleet, {{"e2"}, {"d"}, {"e2:1"}, {"e2:2"}}, {}, Out);
+  handleEntryNotice(Fleet, {{"e3"}, {"d"}, {"e3:1"}, {"e3:2"}}, {}, Out);
   addReadyLink(Fleet, LinkId{1}, entryHello("e3"));
   const TimePoint Later = TimePoint{} + std::chrono::seconds(59);
   BOOST_TEST(!removeStaleEntries(Fleet, Later));
--- a/tests/unit/route_match_test.cpp
+++ b/tests/unit/route_match_test.cpp
@@ -53,16 +53,16 @@
   BOOST_TEST(matchedName(Doc, "a", "/x/?q=1") == "r");
 }
 
-BOOST_AUTO_TEST_CASE(KeysNameTheirTenant) {
+BOOST_AUTO_TEST_CASE(KeysNameTheirWorkspace) {
   Document Doc;
-  Tenant One;
+  Workspace One;
   One.Name.Value = "t";
   One.Keys = {"k1", "k2"};
-  Doc.Tenants = {One};
+  Doc.Workspaces = {One};
   const RouteIndex Index = makeRouteIndex(Doc);
-  BOOST_REQUIRE(matchTenant(Index, "Bearer k2") != nullptr);
-  BOOST_TEST(matchTenant(Index, "bearer  k1 ")->Name.Value == "t");
-  BOOST_TEST(matchTenant(Index, "Bearer k3") == nullptr);
-  BOOST_TEST(matchTenant(Index, "k1") == nullptr);
-  BOOST_TEST(matchTenant(Index, "") == nullptr);
+  BOOST_REQUIRE(matchWorkspace(Index, "Bearer k2") != nullptr);
+  BOOST_TEST(matchWorkspace(Index, "bearer  k1 ")->Name.Value == "t");
+  BOOST_TEST(matchWorkspace(Index, "Bearer k3") == nullptr);
+  BOOST_TEST(matchWorkspace(Index, "k1") == nullptr);
+  BOOST_TEST(matchWorkspace(Index, "") == nullptr);
 }
--- a/tests/unit/route_model.h
+++ b/tests/unit/route_model.h
@@ -157,7 +157,7 @@
   DocumentPtr Doc;             ///< Document by which it is handled.
   const Route *From = nullptr; ///< Its route.
   ServerNeeds Needs;           ///< What it needs.
-  PlaceSearch Search;          ///< Agents asked.
+  SlotSearch Search;          ///< Agents asked.
   InstanceId At;               ///< Back end of the try under way.
   AttemptId Place;             ///< Place there; may be empty.
   LinkId PlaceLink;            ///< Over which link it was asked for.
@@ -191,7 +191,7 @@
   RouteIndex Index;                      ///< Look-ups into it.
   ServerPool Pool;                       ///< Back ends.
   FleetSnapshot Fleet;                   ///< What it was told of the fleet.
-  ToldNews Told;                         ///< What it was told of agents.
+  PassedAgentReports Told;                         ///< What it was told of agents.
   RepeatBudget Repeats;                  ///< Its repeats.
   std::map<AttemptId, AskedPtr> Waiting; ///< Requests that ask for a place.
   uint64_t Places = 0;                   ///< Places asked for.
@@ -575,7 +575,7 @@
   /** Gives what the store's items stand for. */
   const std::string &documentNow() {
     if (ShownRevision != Items.Revision)
-      ShownDocument = documentOf(Items, {{"z0=r", "z1=r"}, 7});
+      ShownDocument = buildDocument(Items, {{"z0=r", "z1=r"}, 7});
     ShownRevision = Items.Revision;
     return ShownDocument;
   }
@@ -698,7 +698,7 @@
     One.Pool = {};
     One.Pool.Options = {{Config.Name},
                         {Config.Domain},
-                        formerWeightsTime(Config),
+                        replacedWeightsTime(Config),
                         Millis(Config.LapseGraceMillis)};
     One.Pool.Random ^= draw(One.Name + "/random", 1U << 30U) | 1U;
     One.Repeats = {};
@@ -727,7 +727,7 @@
 
   void tickEntry(Process &One) {
     Effects Out;
-    entryTick(*One.Entry, Now, Out);
+    handleEntryTick(*One.Entry, Now, Out);
     showDocument(One);
     tellRoutes(One);
     perform(One, Out);
@@ -736,14 +736,14 @@
 
   void tickAgent(Process &One) {
     Effects Out;
-    agentTick(*One.Agent, Now, Out);
+    handleAgentTick(*One.Agent, Now, Out);
     finishAgent(One, Out);
     in(One, delay(One.Name, 45, 60), [this, &One] { tickAgent(One); });
   }
 
   /** Ends a step of an agent, as its shell does. */
   void finishAgent(Process &One, Effects &Out) {
-    tellLoad(*One.Agent, Out);
+    attachCurrentLoad(*One.Agent, Out);
     perform(One, Out);
     checkVersion(One, versionInForce(One.Agent->View));
   }
@@ -753,7 +753,7 @@
   void agentStep(Process &One, Millis Wait, Work Body) {
     in(One, Wait, [this, &One, Body] {
       Effects Out;
-      agentNoticePause(*One.Agent, Now, Out);
+      detectAgentPause(*One.Agent, Now, Out);
       Body(*One.Agent, Out);
       finishAgent(One, Out);
     });
@@ -774,21 +774,21 @@
     checkVersion(One, versionInForce(One.Entry->View));
     One.Doc = Doc;
     One.Index = makeRouteIndex(*Doc);
-    poolFollows(One.Pool, Doc, One.Entry->View.PublishedAfter, Now);
+    applyPoolDocument(One.Pool, Doc, One.Entry->View.PublishedAfter, Now);
   }
 
   void tellRoutes(Process &One) {
-    for (const AgentNews &News : newsOfAgents(*One.Entry, One.Told))
-      agentTold(One.Pool, News, Now);
+    for (const AgentReport &News : collectAgentReports(*One.Entry, One.Told))
+      applyAgentReport(One.Pool, News, Now);
     One.Fleet = fleetSnapshot(*One.Entry, Now);
-    listingAway(One.Pool, One.Fleet.ListingAway, Now);
+    setListingUnavailable(One.Pool, One.Fleet.ListingUnavailable, Now);
     One.Pool.Entries = One.Fleet.Sharers;
     One.Pool.Sharers = One.Fleet.SharerNames;
   }
 
   // ---- Reading the store ----------------------------------------------------
   void readTurn(Process &One) {
-    const ReadTurn Turn =
+    const ReadPlan Turn =
         nextRead(One.Entry->View, One.Entry->Fleet, One.Reads++);
     in(One, Turn.Delay, [this, &One, Turn] {
       if (Turn.Reader)
@@ -799,7 +799,7 @@
   }
 
   /** Waits at the store for a change; whether the reader runs is all one. */
-  void read(Process &One, const ReadTurn &Turn, TimePoint Began,
+  void read(Process &One, const ReadPlan &Turn, TimePoint Began,
             TimePoint Until) {
     if (storeAway(One.Name)) {
       readEnds(One, Began, delay(One.Name + "/away", 300, 1000),
@@ -824,7 +824,7 @@
                 const Outcome<std::string> &Read) {
     in(One, Wait, [this, &One, Began, Read] {
       Effects Out;
-      entryConfigRead(*One.Entry, Read, Began, Now, Out);
+      handleEntryConfigRead(*One.Entry, Read, Began, Now, Out);
       showDocument(One);
       perform(One, Out);
       readTurn(One);
@@ -871,26 +871,26 @@
   void opened(Process &One, LinkId Link) {
     Effects Out;
     if (One.Entry) {
-      entryLinkOpened(*One.Entry, Link, Now, Out);
+      handleEntryLinkOpened(*One.Entry, Link, Now, Out);
       showDocument(One);
       perform(One, Out);
       return;
     }
-    agentNoticePause(*One.Agent, Now, Out);
-    agentLinkOpened(*One.Agent, Link, Now, Out);
+    detectAgentPause(*One.Agent, Now, Out);
+    handleAgentLinkOpened(*One.Agent, Link, Now, Out);
     finishAgent(One, Out);
   }
 
   void closed(Process &One, LinkId Link) {
     Effects Out;
     if (One.Entry) {
-      entryLinkClosed(*One.Entry, Link, Now, Out);
+      handleEntryLinkClosed(*One.Entry, Link, Now, Out);
       showDocument(One);
       perform(One, Out);
       return;
     }
-    agentNoticePause(*One.Agent, Now, Out);
-    agentLinkClosed(*One.Agent, Link, Now);
+    detectAgentPause(*One.Agent, Now, Out);
+    handleAgentLinkClosed(*One.Agent, Link, Now);
     finishAgent(One, Out);
   }
 
@@ -928,25 +928,25 @@
       return;
     }
     if (Who.Entry) {
-      if (const auto *Said = std::get_if<PlaceAnswer>(&*m)) {
+      if (const auto *Said = std::get_if<SlotAnswer>(&*m)) {
         placeAnswered(Who, *Said);
         return;
       }
       Effects Out;
-      if (const auto *Heard = std::get_if<RateHeard>(&*m)) {
+      if (const auto *Heard = std::get_if<RateLimitNotice>(&*m)) {
         if (recordPeerRate(Who.Pool, *Heard, Now) != RateChange::None)
-          spreadNotice(Who.Entry->Fleet, *Heard, Role::Entry, Out);
+          broadcastNotice(Who.Entry->Fleet, *Heard, Role::Entry, Out);
         perform(Who, Out);
         return;
       }
-      entryMessage(*Who.Entry, End.Link, *m, Now, Out);
+      handleEntryMessage(*Who.Entry, End.Link, *m, Now, Out);
       showDocument(Who);
       perform(Who, Out);
       return;
     }
     Effects Out;
-    agentNoticePause(*Who.Agent, Now, Out);
-    agentMessage(*Who.Agent, End.Link, *m, Now, Out);
+    detectAgentPause(*Who.Agent, Now, Out);
+    handleAgentMessage(*Who.Agent, End.Link, *m, Now, Out);
     finishAgent(Who, Out);
   }
 
@@ -993,7 +993,7 @@
               [&](const ReadChunkList &e) { giveList(One, e.Version); },
               [&](const FetchFromOrigin &e) { giveChunk(One, e.Chunk); },
               [&](const StageChunk &e) { stage(One, e.Chunk); },
-              [&](const ReadStaged &e) { giveStaged(One, e.Chunks); },
+              [&](const FindStagedChunks &e) { giveStaged(One, e.Chunks); },
               [&](const LoadWeights &e) { load(One, e.Order); },
               [&](const LogNote &e) {
                 if (OnLog)
@@ -1014,7 +1014,7 @@
     const ChunkList List{{sha256(chunkOf(Version.Version))}, 100};
     agentStep(One, delay(One.Name + "/list", 10, 60),
               [this, Version, List](AgentState &Agent, Effects &Out) {
-                chunkListRead(Agent, Version, {List, {}}, Now, Out);
+                handleOriginChunkList(Agent, Version, {List, {}}, Now, Out);
               });
   }
 
@@ -1025,7 +1025,7 @@
                             ? delay(One.Name + "/origin", 3000, 14000)
                             : delay(One.Name + "/origin", 200, 3000);
     agentStep(One, Wait, [this, Chunk, Bytes](AgentState &Agent, Effects &Out) {
-      originAnswered(Agent, Chunk.Content, checkChunk(Bytes), Now, Out);
+      handleOriginChunk(Agent, Chunk.Content, digestChunk(Bytes), Now, Out);
     });
   }
 
@@ -1036,7 +1036,7 @@
       Beside.Staged.insert(Chunk.Content.Value);
     agentStep(One, Millis(10),
               [this, Chunk, Done](AgentState &Agent, Effects &Out) {
-                agentStaged(Agent, Chunk, Done, Now, Out);
+                handleStagedChunk(Agent, Chunk, Done, Now, Out);
               });
   }
 
@@ -1045,7 +1045,7 @@
       if (Servers.at(One.Name).Staged.contains(Chunk.Content.Value))
         agentStep(One, Millis(10),
                   [this, Chunk](AgentState &Agent, Effects &Out) {
-                    agentStaged(Agent, Chunk, true, Now, Out);
+                    handleStagedChunk(Agent, Chunk, true, Now, Out);
                   });
   }
 
@@ -1094,7 +1094,7 @@
   void orderOver(Process &One, const std::optional<Failure> &Why) {
     agentStep(One, Millis(20),
               [this, &One, Why](AgentState &Agent, Effects &Out) {
-                loadEnded(Agent, Why, Now, Out);
+                handleLoadResult(Agent, Why, Now, Out);
                 ++One.OrdersEnded;
               });
   }
@@ -1107,7 +1107,7 @@
       EngineState State;
       State.Run = Beside.Id.Value;
       if (Beside.Version > 0)
-        State.Weights = publishedSet({"trail"}, std::to_string(Beside.Version));
+        State.Weights = publishedWeightsId({"trail"}, std::to_string(Beside.Version));
       State.Running = Beside.Running;
       State.Cold = Now < Beside.ColdUntil;
       State.Busy = Beside.Busy;
@@ -1117,7 +1117,7 @@
     }
     agentStep(One, delay(One.Name + "/report", 2, 20),
               [this, Read, Orders](AgentState &Agent, Effects &Out) {
-                engineStateRead(Agent, Read, Orders, Now, Out);
+                handleEngineReport(Agent, Read, Orders, Now, Out);
               });
     in(One, Millis(200), [this, &One] { watchEngine(One); });
   }
@@ -1209,14 +1209,14 @@
     if (At.Doc == nullptr || !At.Fleet.Ready)
       return;
     One->From = matchRoute(At.Index, "h.example", Path);
-    One->Needs.Owner = matchTenant(At.Index, "Bearer " + Key);
+    One->Needs.Owner = matchWorkspace(At.Index, "Bearer " + Key);
     if (One->From == nullptr || One->Needs.Owner == nullptr)
       return;
     One->Limit = Now + std::min(One->From->Timeout, Millis(2000));
     One->Needs.Service = One->From->Targets.front().Service;
     One->Needs.MatchedRoute = One->From;
     KeyOf[Id] = Key;
-    countFirst(At.Repeats, One->Needs.Service, Now);
+    countFirstAttempt(At.Repeats, One->Needs.Service, Now);
     Firsts[One->Needs.Service].push_back(Now);
     in(At, toMillis(One->Limit - Now) + Millis(1), [this, &At, One] {
       if (!One->Over)
@@ -1238,12 +1238,12 @@
       limitCame(At, One);
       return;
     }
-    if (!attemptsLeft(*One) || !mayAskMore(One->Search)) {
+    if (!attemptsLeft(*One) || !mayRequestMoreSlots(One->Search)) {
       end(At, One, !One->MayHaveRun);
       return;
     }
     ServerChoice Choice = chooseServer(At.Pool, One->Needs, Now);
-    if (Choice.Server == nullptr && takeBusyOnes(One->Search, One->Needs))
+    if (Choice.Server == nullptr && reconsiderBusyServers(One->Search, One->Needs))
       Choice = chooseServer(At.Pool, One->Needs, Now);
     if (Choice.Server == nullptr) {
       if (Choice.Why == PoolRefusal::NoneListed && One->Needs.Full.empty() &&
@@ -1253,13 +1253,13 @@
       return;
     }
     if (One->Reached > 0 &&
-        !mayRepeat(At.Repeats, One->Needs.Service, At.Pool.Entries, Now)) {
+        !takeRepeat(At.Repeats, One->Needs.Service, At.Pool.Entries, Now)) {
       end(At, One, !One->MayHaveRun);
       return;
     }
     One->At = Choice.Server->Listed.Id;
     ++One->Turn;
-    attemptOpened(At.Pool, One->At);
+    recordAttemptStart(At.Pool, One->At);
     if (hasAgent(*Choice.Server))
       askPlace(At, One, *Choice.Server);
     else
@@ -1267,38 +1267,38 @@
   }
 
   void askPlace(Process &At, const AskedPtr &One, const ServerView &Server) {
-    PlaceAsk Ask;
+    SlotRequest Ask;
     Ask.SlotId.Value = At.Name + "/" + std::to_string(At.Life) + "/" +
                       std::to_string(++At.Places);
     const Duration Left = One->Sent + One->From->Target - Now;
     Millis Wait = std::max(toMillis(Left), Millis(0));
     if (Wait.count() == 0) {
       Ask.SpareOnly = true;
-      Wait = lateWait(One->Limit - Now);
-      takeBusyOnes(One->Search, One->Needs);
+      Wait = lateRequestWait(One->Limit - Now);
+      reconsiderBusyServers(One->Search, One->Needs);
     }
     Ask.WaitMillis = static_cast<uint64_t>(Wait.count());
-    const Millis MostReading = mostReading(One->Search);
-    Ask.MaxReadingMillis = static_cast<uint32_t>(MostReading.count());
-    placeAsked(One->Search);
+    const Millis MaxBacklogToRequest = maxPrefillBacklog(One->Search);
+    Ask.MaxPrefillBacklogMillis = static_cast<uint32_t>(MaxBacklogToRequest.count());
+    recordSlotRequest(One->Search);
     One->Place = Ask.SlotId;
     One->PlaceLink = Server.Agent->Link;
     One->Asking = true;
     At.Waiting[One->Place] = One;
-    if (const auto Told = rateToTell(Server, Now))
+    if (const auto Told = rateNoticeForAgent(Server, Now))
       send(At, One->PlaceLink, *Told);
     send(At, One->PlaceLink, Ask);
     const Millis Until =
-        Millis(150) + (MostReading.count() == 0 ? Wait : Millis(0));
+        Millis(150) + (MaxBacklogToRequest.count() == 0 ? Wait : Millis(0));
     in(At, Until, [this, &At, One, Turn = One->Turn] {
       if (One->Over || !One->Asking || One->Turn != Turn)
         return;
-      agentSilent(At.Pool, One->At, Now);
+      markAgentSilent(At.Pool, One->At, Now);
       askElsewhere(At, One, false);
     });
   }
 
-  void placeAnswered(Process &At, const PlaceAnswer &Said) {
+  void placeAnswered(Process &At, const SlotAnswer &Said) {
     const auto Node = At.Waiting.extract(Said.SlotId);
     if (!Node)
       return;
@@ -1306,7 +1306,7 @@
     if (One->Over || !One->Asking || One->Place != Said.SlotId)
       return;
     One->Asking = false;
-    loadTold(At.Pool, One->At, Said.Load.Busy, Now);
+    recordServerLoad(At.Pool, One->At, Said.Load.Busy, Now);
     if (Said.Granted && mayStillUse(At.Pool, One->At, One->Needs, Now)) {
       sendTo(At, One, At.Pool.Servers.at(One->At));
       return;
@@ -1314,14 +1314,14 @@
     if (!Said.Granted)
       One->Place = {};
     if (Said.Why == ErrorKind::RateLimited)
-      rateRefused(At.Pool, One->At, Millis(Said.RetryAfterMillis), Now);
+      recordRateRefusal(At.Pool, One->At, Millis(Said.RetryAfterMillis), Now);
     askElsewhere(At, One, Said.Why == ErrorKind::Overloaded);
   }
 
   void askElsewhere(Process &At, const AskedPtr &One, bool OnlyBusy) {
     placeOver(At, *One, false);
-    attemptClosed(At.Pool, One->At, AttemptEnd::NotSent, {}, Now);
-    placeRefused(One->Search, One->Needs, One->At, OnlyBusy);
+    recordAttemptEnd(At.Pool, One->At, AttemptEnd::NotSent, {}, Now);
+    recordSlotRefusal(One->Search, One->Needs, One->At, OnlyBusy);
     tryNext(At, One);
   }
 
@@ -1330,20 +1330,20 @@
     if (One.Place.Value.empty())
       return;
     At.Waiting.erase(One.Place);
-    send(At, One.PlaceLink, PlaceDone{One.Place, Whole, One.Calling});
+    send(At, One.PlaceLink, SlotRelease{One.Place, Whole, One.Calling});
     One.Place = {};
   }
 
   void sendTo(Process &At, const AskedPtr &One, const ServerView &Server) {
     if (One->Place.Value.empty())
-      sentPastAgent(At.Pool, One->At, Now);
+      countRequestWithoutSlot(At.Pool, One->At, Now);
     Passed Sent;
     Sent.Of = One;
     Sent.Turn = One->Turn;
     Sent.Entry = At.Name;
     Sent.Life = At.Life;
     Sent.Expected = Server.Listed.Id;
-    Sent.Version = versionToDemand(At.Pool, One->At, Now);
+    Sent.Version = requiredVersion(At.Pool, One->At, Now);
     Sent.Sent = Now;
     Sent.First = One->Reached == 0;
     One->CallBegan = Now;
@@ -1369,7 +1369,7 @@
     in(At, Millis(50), [this, &At, One, Turn] {
       if (One->Over || !One->Calling || One->Begun || One->Turn != Turn)
         return;
-      const auto Until = mayBeginUntil(At.Pool, One->At, One->SentOn);
+      const auto Until = latestStartTime(At.Pool, One->At, One->SentOn);
       if (Until && Now >= *Until)
         answered(At, One, Answer::Broke);
       else
@@ -1381,14 +1381,14 @@
     ServerNeeds Other = One.Needs;
     Other.Tried.insert(One.At);
     return chooseServer(At.Pool, Other, Now).Server != nullptr &&
-           repeatsLeft(At.Repeats, One.Needs.Service, At.Pool.Entries, Now);
+           hasRepeatsLeft(At.Repeats, One.Needs.Service, At.Pool.Entries, Now);
   }
 
   void answered(Process &At, const AskedPtr &One, Answer How) {
     One->Calling = How != Answer::Unreached;
     const auto Over = [&](AttemptEnd End) {
       placeOver(At, *One, How == Answer::Whole);
-      attemptClosed(At.Pool, One->At, End, Now - One->CallBegan, Now);
+      recordAttemptEnd(At.Pool, One->At, End, Now - One->CallBegan, Now);
       One->Calling = false;
     };
     switch (How) {
@@ -1397,7 +1397,7 @@
       One->Over = true;
       return;
     case Answer::Misdirected:
-      serverMisjudged(At.Pool, One->At, Now);
+      avoidMismatchedServer(At.Pool, One->At, Now);
       [[fallthrough]];
     case Answer::NotRun:
       Over(AttemptEnd::Refused);
@@ -1428,18 +1428,18 @@
     if (!Limit && (Refusal || !isRateLimited(At.Pool, One->At)))
       return;
     const RateChange Change =
-        rateHeard(At.Pool, One->At, Limit, One->CallBegan, Now);
+        recordAnswerRate(At.Pool, One->At, Limit, One->CallBegan, Now);
     const auto it = At.Pool.Servers.find(One->At);
     if (it == At.Pool.Servers.end())
       return;
     const Millis Age = Limit ? Millis(0) : toMillis(Now - One->CallBegan);
-    const RateHeard Told{One->Place, One->At, Limit,
+    const RateLimitNotice Told{One->Place, One->At, Limit,
                          static_cast<uint64_t>(Age.count())};
     Effects Out;
     if (hasAgent(it->second))
       Out.push_back(SendMessage{it->second.Agent->Link, Told});
     else if (Change != RateChange::None)
-      spreadNotice(At.Entry->Fleet, Told, Role::Entry, Out);
+      broadcastNotice(At.Entry->Fleet, Told, Role::Entry, Out);
     perform(At, Out);
   }
 
@@ -1452,7 +1452,7 @@
     const bool Open = One->Calling || One->Asking;
     placeOver(At, *One, false);
     if (Open)
-      attemptClosed(At.Pool, One->At, AttemptEnd::Dropped, {}, Now);
+      recordAttemptEnd(At.Pool, One->At, AttemptEnd::Dropped, {}, Now);
     One->Calling = false;
     One->Over = true;
     ++One->Turn;
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -87,7 +87,7 @@
   Load.Running = 3;
   Load.Waiting = 2;
   Load.Limit = 4;
-  stampLoad(Load, Out);
+  attachLoad(Load, Out);
   auto Failed =
       std::get<AttemptFailed>(std::get<SendMessage>(Out.front()).Content);
   Failed.Kind = ErrorKind::Overloaded;
--- a/tests/unit/server_pool_test.cpp
+++ b/tests/unit/server_pool_test.cpp
@@ -62,7 +62,7 @@
 
   /** Applies the document to the pool, as published after a time. */
   void publishDocumentSince(std::optional<TimePoint> PublishedAfter) {
-    poolFollows(State, std::make_shared<const Document>(Doc), PublishedAfter,
+    applyPoolDocument(State, std::make_shared<const Document>(Doc), PublishedAfter,
                 Now);
   }
 
@@ -89,7 +89,7 @@
    */
   void reportAllAgents() {
     for (const char *Id : {"m0", "m1", "m2"})
-      agentTold(State,
+      applyAgentReport(State,
                 {{std::string(Id) + ":1"},
                  WorkerState::Serving,
                  1,
@@ -118,7 +118,7 @@
 BOOST_AUTO_TEST_CASE(ABusyBackEndIsNotChosen) {
   PoolFixture Fixture;
   for (int n = 0; n < 3; ++n)
-    attemptOpened(Fixture.State, {"p0"});
+    recordAttemptStart(Fixture.State, {"p0"});
   BOOST_TEST(Fixture.countChoices("plain")["p0"] == 0);
 }
 
@@ -126,7 +126,7 @@
   PoolFixture Fixture;
   for (const char *Id : {"p0", "p1", "p2"})
     for (int n = 0; n < 20; ++n)
-      attemptOpened(Fixture.State, {Id});
+      recordAttemptStart(Fixture.State, {Id});
   const ServerChoice Choice =
       chooseServer(Fixture.State, Fixture.needs("plain"), Fixture.Now);
   BOOST_TEST(Choice.Server == nullptr);
@@ -166,7 +166,7 @@
 
 BOOST_AUTO_TEST_CASE(AnUnlistedBackEndIsNotChosen) {
   PoolFixture Fixture;
-  attemptOpened(Fixture.State, {"p0"});
+  recordAttemptStart(Fixture.State, {"p0"});
   std::erase_if(Fixture.Doc.Servers,
                 [](const auto &Row) { return Row.Id.Value == "p0"; });
   Fixture.publishDocument();
@@ -178,9 +178,9 @@
   // store: during one of six seconds the registrations of all servers expired,
   // and for two seconds after it the list was empty although all servers ran.
   PoolFixture Fixture;
-  listingAway(Fixture.State, true, Fixture.Now);
+  setListingUnavailable(Fixture.State, true, Fixture.Now);
   Fixture.Now += Millis(6000);
-  listingAway(Fixture.State, false, Fixture.Now);
+  setListingUnavailable(Fixture.State, false, Fixture.Now);
   const std::vector<BackEndServer> All = Fixture.Doc.Servers;
   Fixture.Doc.Servers.clear();
   Fixture.publishDocument();
@@ -199,13 +199,13 @@
   Fixture.setWantedVersion("2");
   Fixture.publishDocument();
   BOOST_TEST(!Fixture.choose("llm").empty());
-  BOOST_TEST(versionToDemand(Fixture.State, {"m1"}, Fixture.Now).empty());
-  Fixture.Now += Fixture.State.Options.FormerWeightsFor;
+  BOOST_TEST(requiredVersion(Fixture.State, {"m1"}, Fixture.Now).empty());
+  Fixture.Now += Fixture.State.Options.ReplacedWeightsTime;
   BOOST_TEST(Fixture.choose("llm").empty());
-  AgentNews News{Address{"m1:1"}, WorkerState::Serving, 0, {"m@2"}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now);
+  AgentReport News{Address{"m1:1"}, WorkerState::Serving, 0, {"m@2"}, true, {}};
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.choose("llm") == "m1");
-  BOOST_TEST(versionToDemand(Fixture.State, {"m1"}, Fixture.Now) == "2");
+  BOOST_TEST(requiredVersion(Fixture.State, {"m1"}, Fixture.Now) == "2");
 }
 
 BOOST_AUTO_TEST_CASE(AVersionThatIsSoonReplacedDoesNotExpireTheOneBefore) {
@@ -219,12 +219,12 @@
   Fixture.setWantedVersion("3");
   Fixture.publishDocument();
   BOOST_TEST(!Fixture.choose("llm").empty());
-  Fixture.Now += Fixture.State.Options.FormerWeightsFor - Millis(2000);
+  Fixture.Now += Fixture.State.Options.ReplacedWeightsTime - Millis(2000);
   BOOST_TEST(Fixture.choose("llm").empty());
-  AgentNews News{Address{"m1:1"}, WorkerState::Serving, 0, {"m@2"}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now);
+  AgentReport News{Address{"m1:1"}, WorkerState::Serving, 0, {"m@2"}, true, {}};
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.choose("llm") == "m1");
-  BOOST_TEST(versionToDemand(Fixture.State, {"m1"}, Fixture.Now) == "2");
+  BOOST_TEST(requiredVersion(Fixture.State, {"m1"}, Fixture.Now) == "2");
   Fixture.Now += Millis(2000);
   BOOST_TEST(Fixture.choose("llm").empty());
 }
@@ -274,7 +274,7 @@
   Fixture.setWantedVersion("2");
   Fixture.publishDocument();
   BOOST_TEST(!Fixture.chooseInstance(Needs).empty());
-  Fixture.Now += Fixture.State.Options.FormerWeightsFor;
+  Fixture.Now += Fixture.State.Options.ReplacedWeightsTime;
   BOOST_TEST(Fixture.chooseInstance(Needs).empty());
 }
 
@@ -284,22 +284,22 @@
   PoolFixture Fixture;
   const TimePoint Published = Fixture.Now;
   const Digest SentOn{"m@1"};
-  BOOST_TEST(!mayBeginUntil(Fixture.State, {"m1"}, SentOn));
+  BOOST_TEST(!latestStartTime(Fixture.State, {"m1"}, SentOn));
   Fixture.setWantedVersion("2");
   Fixture.publishDocument();
-  const auto Until = mayBeginUntil(Fixture.State, {"m1"}, SentOn);
+  const auto Until = latestStartTime(Fixture.State, {"m1"}, SentOn);
   BOOST_REQUIRE(Until);
-  BOOST_TEST((*Until > Published + Fixture.State.Options.FormerWeightsFor));
-  BOOST_TEST((*Until < Published + Fixture.State.Options.FormerWeightsFor +
+  BOOST_TEST((*Until > Published + Fixture.State.Options.ReplacedWeightsTime));
+  BOOST_TEST((*Until < Published + Fixture.State.Options.ReplacedWeightsTime +
                            Millis(1200)));
-  AgentNews News{Address{"m1:1"}, WorkerState::Empty, 0, {}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now); // Its worker is paused.
-  BOOST_TEST((mayBeginUntil(Fixture.State, {"m1"}, SentOn) == Until));
+  AgentReport News{Address{"m1:1"}, WorkerState::Empty, 0, {}, true, {}};
+  applyAgentReport(Fixture.State, News, Fixture.Now); // Its worker is paused.
+  BOOST_TEST((latestStartTime(Fixture.State, {"m1"}, SentOn) == Until));
   News = {Address{"m1:1"}, WorkerState::Serving, 0, {"m@2"}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now);
-  BOOST_TEST(!mayBeginUntil(Fixture.State, {"m1"}, SentOn));
-  BOOST_TEST(!mayBeginUntil(Fixture.State, {"p1"}, {}));
-  BOOST_TEST(!mayBeginUntil(Fixture.State, {"gone"}, SentOn));
+  applyAgentReport(Fixture.State, News, Fixture.Now);
+  BOOST_TEST(!latestStartTime(Fixture.State, {"m1"}, SentOn));
+  BOOST_TEST(!latestStartTime(Fixture.State, {"p1"}, {}));
+  BOOST_TEST(!latestStartTime(Fixture.State, {"gone"}, SentOn));
 }
 
 BOOST_AUTO_TEST_CASE(FormerWeightsAreNotUsedWithASilentAgent) {
@@ -309,12 +309,12 @@
   PoolFixture Fixture;
   Fixture.setWantedVersion("2");
   Fixture.publishDocument();
-  AgentNews News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now);
+  AgentReport News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
-  agentSilent(Fixture.State, {"m0"}, Fixture.Now);
+  markAgentSilent(Fixture.State, {"m0"}, Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
-  agentTold(Fixture.State, News, Fixture.Now);
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
 }
 
@@ -323,22 +323,22 @@
   // for five seconds, its agent did not reply, and entries sent it request
   // after request, none of which was answered.
   PoolFixture Fixture;
-  AgentNews News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now);
-  agentSilent(Fixture.State, {"m0"}, Fixture.Now);
-  attemptOpened(Fixture.State, {"m2"}); // The other one in this entry's domain.
-  attemptOpened(Fixture.State, {"m2"});
+  AgentReport News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
+  applyAgentReport(Fixture.State, News, Fixture.Now);
+  markAgentSilent(Fixture.State, {"m0"}, Fixture.Now);
+  recordAttemptStart(Fixture.State, {"m2"}); // The other one in this entry's domain.
+  recordAttemptStart(Fixture.State, {"m2"});
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
-  attemptOpened(Fixture.State, {"m0"});
+  recordAttemptStart(Fixture.State, {"m0"});
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
   Fixture.Now += Millis(200);
-  serverHeard(Fixture.State, {"m0"}, Fixture.Now); // Only its agent failed.
+  recordServerActivity(Fixture.State, {"m0"}, Fixture.Now); // Only its agent failed.
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
 }
 
 BOOST_AUTO_TEST_CASE(ALoadingWorkerIsNotChosen) {
   PoolFixture Fixture;
-  agentTold(Fixture.State,
+  applyAgentReport(Fixture.State,
             {Address{"m0:1"}, WorkerState::Loading, 0, {"m@1"}, true, {}},
             Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
@@ -346,8 +346,8 @@
 
 BOOST_AUTO_TEST_CASE(AnUnreachableBackEndIsAvoidedForAWhile) {
   PoolFixture Fixture;
-  attemptOpened(Fixture.State, {"p0"});
-  attemptClosed(Fixture.State, {"p0"}, AttemptEnd::Unreached, {}, Fixture.Now);
+  recordAttemptStart(Fixture.State, {"p0"});
+  recordAttemptEnd(Fixture.State, {"p0"}, AttemptEnd::Unreached, {}, Fixture.Now);
   BOOST_TEST(Fixture.countChoices("plain")["p0"] == 0);
   Fixture.Now += Millis(400);
   BOOST_TEST(Fixture.countChoices("plain")["p0"] > 0);
@@ -358,8 +358,8 @@
   // health check passes, and draws more and more requests for its low load.
   PoolFixture Fixture;
   for (int n = 0; n < 20; ++n) {
-    attemptOpened(Fixture.State, {"p0"});
-    attemptClosed(Fixture.State, {"p0"},
+    recordAttemptStart(Fixture.State, {"p0"});
+    recordAttemptEnd(Fixture.State, {"p0"},
                   n % 2 == 0 ? AttemptEnd::Error : AttemptEnd::Answered,
                   Millis(5), Fixture.Now);
   }
@@ -379,8 +379,8 @@
     const std::string Id = Fixture.choose("llm");
     if (Id.empty())
       break;
-    attemptOpened(Fixture.State, {Id});
-    sentPastAgent(Fixture.State, {Id}, Fixture.Now);
+    recordAttemptStart(Fixture.State, {Id});
+    countRequestWithoutSlot(Fixture.State, {Id}, Fixture.Now);
     ++Sent;
   }
   BOOST_TEST(Sent == 3); // Less than two per second to each worker.
@@ -399,8 +399,8 @@
   for (int n = 0; n < 50; ++n) {
     const std::string Id = Fixture.choose("llm");
     BOOST_TEST_REQUIRE(!Id.empty());
-    attemptOpened(Fixture.State, {Id});
-    attemptClosed(Fixture.State, {Id}, AttemptEnd::NotSent, {}, Fixture.Now);
+    recordAttemptStart(Fixture.State, {Id});
+    recordAttemptEnd(Fixture.State, {Id}, AttemptEnd::NotSent, {}, Fixture.Now);
   }
 }
 
@@ -412,12 +412,12 @@
   PoolFixture Fixture;
   Fixture.reportAllAgents();
   const auto SendHeartbeat = [&] {
-    agentTold(Fixture.State,
+    applyAgentReport(Fixture.State,
               {{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}},
               Fixture.Now);
   };
   const auto MissReply = [&] {
-    agentSilent(Fixture.State, {"m0"}, Fixture.Now);
+    markAgentSilent(Fixture.State, {"m0"}, Fixture.Now);
     SendHeartbeat();
   };
   MissReply();
@@ -430,7 +430,7 @@
   MissReply();
   Fixture.Now += Millis(500); // The time doubled.
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
-  readingTold(Fixture.State, {"m0"}, Duration{0}); // It replied to one.
+  recordPrefillBacklog(Fixture.State, {"m0"}, Duration{0}); // It replied to one.
   Fixture.Now += Millis(100);
   MissReply();
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
@@ -440,18 +440,18 @@
   PoolFixture Fixture;
   Fixture.reportAllAgents();
   for (const char *Id : {"m0", "m1", "m2"})
-    agentSilent(Fixture.State, {Id}, Fixture.Now);
+    markAgentSilent(Fixture.State, {Id}, Fixture.Now);
   BOOST_TEST(!Fixture.choose("llm").empty());
 }
 
-BOOST_AUTO_TEST_CASE(RegionsBindRouteAndTenant) {
+BOOST_AUTO_TEST_CASE(RegionsBindRouteAndWorkspace) {
   PoolFixture Fixture;
   Fixture.Doc.RegionOf = {{{"d0"}, {"r0"}}, {{"d1"}, {"r1"}}};
   Fixture.publishDocument();
   Fixture.TestRoute.Regions = {{"r1"}};
   BOOST_TEST(Fixture.countChoices("plain").size() == 1U);
   BOOST_TEST(Fixture.choose("plain") == "p1");
-  Tenant Owner;
+  Workspace Owner;
   Owner.Regions = {{"r0"}};
   ServerNeeds Needs = Fixture.needs("plain");
   Needs.Owner = &Owner;
@@ -461,11 +461,11 @@
 BOOST_AUTO_TEST_CASE(ThePrefillBacklogCountsAsLoad) {
   PoolFixture Fixture;
   for (const char *At : {"m0:1", "m1:1", "m2:1"})
-    agentTold(Fixture.State,
+    applyAgentReport(Fixture.State,
               {Address{At}, WorkerState::Serving, 0, {"m@1"}, true, {}},
               Fixture.Now);
-  readingTold(Fixture.State, {"m0"}, Millis(300));
-  readingTold(Fixture.State, {"m2"}, Millis(300));
+  recordPrefillBacklog(Fixture.State, {"m0"}, Millis(300));
+  recordPrefillBacklog(Fixture.State, {"m2"}, Millis(300));
   const auto Got = Fixture.countChoices("llm");
   BOOST_TEST(Got.size() == 1U);
   BOOST_TEST(Got.contains("m1"));
@@ -483,10 +483,10 @@
     Fixture.Doc.Servers.back().Slots = 20;
   }
   Fixture.publishDocument();
-  loadTold(Fixture.State, {"p0"}, 5, Fixture.Now);
-  loadTold(Fixture.State, {"p1"}, 0, Fixture.Now);
+  recordServerLoad(Fixture.State, {"p0"}, 5, Fixture.Now);
+  recordServerLoad(Fixture.State, {"p1"}, 0, Fixture.Now);
   BOOST_TEST(Fixture.choose("plain") == "p0");
-  loadTold(Fixture.State, {"p0"}, 9, Fixture.Now);
+  recordServerLoad(Fixture.State, {"p0"}, 9, Fixture.Now);
   BOOST_TEST(Fixture.choose("plain") == "p1");
 }
 
@@ -496,16 +496,16 @@
 BOOST_AUTO_TEST_CASE(EntriesShareTheConnectionLimitOfABackEnd) {
   PoolFixture Fixture;
   const ServiceName Plain{"plain"};
-  BOOST_TEST(connectionsToKeep(Fixture.State, Plain) == 24U); // Limit unknown.
+  BOOST_TEST(maxIdleConnections(Fixture.State, Plain) == 24U); // Limit unknown.
   Fixture.Doc.Services.back().MaxConnections = 110;
   Fixture.publishDocument();
   Fixture.State.Entries = 9;
-  BOOST_TEST(connectionsToKeep(Fixture.State, Plain) == 6U);
+  BOOST_TEST(maxIdleConnections(Fixture.State, Plain) == 6U);
   Fixture.State.Entries = 1;
-  BOOST_TEST(connectionsToKeep(Fixture.State, Plain) == 24U);
+  BOOST_TEST(maxIdleConnections(Fixture.State, Plain) == 24U);
   for (const uint32_t Entries : {1U, 3U, 8U, 9U, 55U, 390U}) {
     Fixture.State.Entries = Entries;
-    BOOST_TEST(connectionsToKeep(Fixture.State, Plain) * Entries <= 55U);
+    BOOST_TEST(maxIdleConnections(Fixture.State, Plain) * Entries <= 55U);
   }
 }
 
@@ -513,20 +513,20 @@
 // back end, grants slots without it, and makes the entries drop it.
 BOOST_AUTO_TEST_CASE(ARestartedAgentIsToldTheRateLimit) {
   PoolFixture Fixture;
-  AgentNews News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
+  AgentReport News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
   News.Link = LinkId{7};
   News.PerSecond = 1.8;
-  agentTold(Fixture.State, News, Fixture.Now);
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   const ServerView &View = Fixture.State.Servers.at({"m0"});
-  BOOST_TEST(!rateToTell(View, Fixture.Now).has_value());
-  agentTold(Fixture.State,
+  BOOST_TEST(!rateNoticeForAgent(View, Fixture.Now).has_value());
+  applyAgentReport(Fixture.State,
             {Address{"m0:1"}, WorkerState::Empty, 0, {}, false, {}},
             Fixture.Now);
   News.Link = LinkId{8};
   News.PerSecond.reset();
   Fixture.Now += Millis(2000);
-  agentTold(Fixture.State, News, Fixture.Now);
-  const auto Told = rateToTell(View, Fixture.Now);
+  applyAgentReport(Fixture.State, News, Fixture.Now);
+  const auto Told = rateNoticeForAgent(View, Fixture.Now);
   BOOST_REQUIRE(Told.has_value());
   BOOST_TEST(Told->PerSecond.value() == 1.8);
   BOOST_TEST(Told->AgeMillis == 2000U);
@@ -535,14 +535,14 @@
 // Guards against a back end that is still avoided after its limit was lifted.
 BOOST_AUTO_TEST_CASE(AnAgentThatLiftsARateLimitIsAskedAtOnce) {
   PoolFixture Fixture;
-  AgentNews News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
+  AgentReport News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
   News.PerSecond = 0.3;
-  agentTold(Fixture.State, News, Fixture.Now);
-  rateRefused(Fixture.State, {"m0"}, Millis(3300), Fixture.Now);
+  applyAgentReport(Fixture.State, News, Fixture.Now);
+  recordRateRefusal(Fixture.State, {"m0"}, Millis(3300), Fixture.Now);
   BOOST_TEST(isRateLimited(Fixture.State, {"m0"}));
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
   News.PerSecond.reset();
-  agentTold(Fixture.State, News, Fixture.Now + Millis(100));
+  applyAgentReport(Fixture.State, News, Fixture.Now + Millis(100));
   Fixture.Now += Millis(100);
   BOOST_TEST(!isRateLimited(Fixture.State, {"m0"}));
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
@@ -553,8 +553,8 @@
 BOOST_AUTO_TEST_CASE(ARateLimitedBackEndIsNotAskedBeforeItsRetryTime) {
   PoolFixture Fixture;
   Fixture.reportAllAgents();
-  rateHeard(Fixture.State, {"m0"}, 1.8, Fixture.Now, Fixture.Now);
-  rateRefused(Fixture.State, {"m0"}, Millis(400), Fixture.Now);
+  recordAnswerRate(Fixture.State, {"m0"}, 1.8, Fixture.Now, Fixture.Now);
+  recordRateRefusal(Fixture.State, {"m0"}, Millis(400), Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
   BOOST_TEST(Fixture.countChoices("llm")["m2"] > 0);
   Fixture.Now += Millis(400);
@@ -566,12 +566,12 @@
 BOOST_AUTO_TEST_CASE(IfAllAreRateLimitedTheRetryDelayCoversTheLimit) {
   PoolFixture Fixture;
   for (const char *Id : {"m0", "m1", "m2"}) {
-    agentTold(
+    applyAgentReport(
         Fixture.State,
         {{std::string(Id) + ":1"}, WorkerState::Serving, 0, {"m@1"}, true, {}},
         Fixture.Now);
-    rateHeard(Fixture.State, {Id}, 0.3, Fixture.Now, Fixture.Now);
-    rateRefused(Fixture.State, {Id}, Millis(1700), Fixture.Now);
+    recordAnswerRate(Fixture.State, {Id}, 0.3, Fixture.Now, Fixture.Now);
+    recordRateRefusal(Fixture.State, {Id}, Millis(1700), Fixture.Now);
   }
   const ServerChoice Choice =
       chooseServer(Fixture.State, Fixture.needs("llm"), Fixture.Now);
@@ -587,8 +587,8 @@
   Fixture.State.Entries = 2;
   Fixture.reportAllAgents();
   for (const char *Id : {"m0", "m1", "m2"}) {
-    rateHeard(Fixture.State, {Id}, 2, Fixture.Now, Fixture.Now);
-    rateRefused(Fixture.State, {Id}, Millis(400), Fixture.Now);
+    recordAnswerRate(Fixture.State, {Id}, 2, Fixture.Now, Fixture.Now);
+    recordRateRefusal(Fixture.State, {Id}, Millis(400), Fixture.Now);
   }
   // Three back ends at two per second, half of it for this entry: one retry
   // each third of a second.
@@ -610,11 +610,11 @@
   Fixture.Doc.Servers = {PoolFixture::server("m0", "llm", 0, "m@1")};
   Fixture.setWantedVersion("2");
   Fixture.publishDocument();
-  AgentNews News{Address{"m0:1"}, WorkerState::Empty, 0, {}, true, {}};
-  agentTold(Fixture.State, News, Fixture.Now);
+  AgentReport News{Address{"m0:1"}, WorkerState::Empty, 0, {}, true, {}};
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   Fixture.Doc.Servers.front().Weights.Value = "m@2";
   Fixture.publishDocument();
   News.Fresh = false;
-  agentTold(Fixture.State, News, Fixture.Now);
+  applyAgentReport(Fixture.State, News, Fixture.Now);
   BOOST_TEST(Fixture.choose("llm").empty());
 }
--- a/tests/unit/server_rate_test.cpp
+++ b/tests/unit/server_rate_test.cpp
@@ -64,7 +64,7 @@
     for (size_t n = 0; n < Count; ++n) {
       Pools[n].Options.Self = Names[n];
       Pools[n].Random += n;
-      poolFollows(Pools[n], Shared, Start, Start);
+      applyPoolDocument(Pools[n], Shared, Start, Start);
     }
     connect(0, Count);
   }
@@ -85,9 +85,9 @@
     Needs.MatchedRoute = &TestRoute;
     if (chooseServer(Pools[n], Needs, Now).Server == nullptr)
       return false;
-    attemptOpened(Pools[n], Id);
-    sentPastAgent(Pools[n], Id, Now);
-    attemptClosed(Pools[n], Id, AttemptEnd::Dropped, {}, Now);
+    recordAttemptStart(Pools[n], Id);
+    countRequestWithoutSlot(Pools[n], Id, Now);
+    recordAttemptEnd(Pools[n], Id, AttemptEnd::Dropped, {}, Now);
     return true;
   }
 
@@ -95,7 +95,7 @@
    * they were sent. */
   std::vector<TimePoint> sendAll(std::optional<double> PerSecond) {
     for (ServerPool &One : Pools)
-      rateHeard(One, Id, PerSecond, Start, Start);
+      recordAnswerRate(One, Id, PerSecond, Start, Start);
     std::vector<TimePoint> Times;
     for (TimePoint Now = Start; Now < Start + Length; Now += Step)
       for (size_t n = 0; n < Pools.size(); ++n)
@@ -161,13 +161,13 @@
 // the limit was stated.
 BOOST_AUTO_TEST_CASE(ALateAnswerDoesNotLiftALimit) {
   ServerRate Rate;
-  BOOST_CHECK(rateNamed(Rate, 2.7, Start) == RateChange::Set);
-  BOOST_CHECK(rateNotNamed(Rate, Start - Millis(1)) == RateChange::None);
+  BOOST_CHECK(recordRateLimit(Rate, 2.7, Start) == RateChange::Set);
+  BOOST_CHECK(recordNoRateLimit(Rate, Start - Millis(1)) == RateChange::None);
   BOOST_TEST(Rate.PerSecond.has_value());
-  BOOST_CHECK(rateNotNamed(Rate, Start) == RateChange::Lifted);
+  BOOST_CHECK(recordNoRateLimit(Rate, Start) == RateChange::Lifted);
   BOOST_TEST(!Rate.PerSecond.has_value());
   // An older notice of a peer does not set it again.
-  BOOST_CHECK(rateNamed(Rate, 2.7, Start - Millis(1)) == RateChange::None);
+  BOOST_CHECK(recordRateLimit(Rate, 2.7, Start - Millis(1)) == RateChange::None);
 }
 
 // Guards against an entry without a share of a limit that does not learn that
@@ -175,7 +175,7 @@
 BOOST_AUTO_TEST_CASE(AnEntryWithoutAShareLearnsThatALimitWasLifted) {
   EntriesFixture All(30, false);
   for (ServerPool &One : All.Pools)
-    rateHeard(One, All.Id, 0.3, Start, Start);
+    recordAnswerRate(One, All.Id, 0.3, Start, Start);
   const TimePoint Now = Start + Millis(1000);
   size_t WithoutShare = 0;
   while (WithoutShare < All.Pools.size() && All.send(WithoutShare, Now))
@@ -187,9 +187,9 @@
 
 BOOST_AUTO_TEST_CASE(OnlyDecimalNumbersAreParsedAsLimits) {
   const StoreWire Wire;
-  BOOST_TEST(Wire.rateLimitOf("2.7").value() == 2.7);
-  BOOST_TEST(Wire.rateLimitOf("0").value() == 0);
+  BOOST_TEST(Wire.parseRateLimit("2.7").value() == 2.7);
+  BOOST_TEST(Wire.parseRateLimit("0").value() == 0);
   for (const char *Text : {"", " ", "-1", "-0", "nan", "inf", "1e3", "1e300",
                            "0x2", "2.7,2.7", "2.7 a second", "two", "."})
-    BOOST_TEST(!Wire.rateLimitOf(Text).has_value(), Text);
+    BOOST_TEST(!Wire.parseRateLimit(Text).has_value(), Text);
 }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -167,14 +167,14 @@
   Settings Config;
   Config.ShutdownMillis = 30000;
   const Millis ToEnd{600};
-  BOOST_TEST(shutdownTime(Config, ToEnd).count() == 30000);
+  BOOST_TEST(maxShutdownTime(Config, ToEnd).count() == 30000);
   Config.StopGraceSeconds = 5;
-  BOOST_TEST(shutdownTime(Config, ToEnd).count() == 4400);
+  BOOST_TEST(maxShutdownTime(Config, ToEnd).count() == 4400);
   Config.ShutdownMillis = 300;
-  BOOST_TEST(shutdownTime(Config, ToEnd).count() == 300);
+  BOOST_TEST(maxShutdownTime(Config, ToEnd).count() == 300);
   Config.ShutdownMillis = 30000;
   Config.StopGraceSeconds = 1;
-  BOOST_TEST(shutdownTime(Config, Millis(1600)).count() == 250);
+  BOOST_TEST(maxShutdownTime(Config, Millis(1600)).count() == 250);
 }
 
 // A published document, or one sent to /v1/check, consists of deeply nested
--- a/tests/unit/slow_link_test.cpp
+++ b/tests/unit/slow_link_test.cpp
@@ -71,7 +71,7 @@
   while (One.originFetchCount() == 0 && Waited < 5000) {
     One.advanceAndListAskedPeers(Millis(50));
     // Other chunks still arrive, so that the time without news does not count.
-    One.Transfer.LastNewsAt = One.Now;
+    One.Transfer.AvailabilityChangedAt = One.Now;
     Waited += 50;
   }
   BOOST_TEST(Waited >= 1000U);
@@ -94,7 +94,7 @@
       if (Fetch == nullptr)
         continue;
       Takeovers += Fetch->Chunk.Number == Own ? 0 : 1;
-      chunkFromOrigin(One.Transfer, One.Weights, Fetch->Chunk.Content, {},
+      receiveChunkFromOrigin(One.Transfer, One.Weights, Fetch->Chunk.Content, {},
                       One.Now, One.Out);
     }
   }
--- a/tests/unit/status_test.cpp
+++ b/tests/unit/status_test.cpp
@@ -108,7 +108,7 @@
   Next.Models[0].Set.Value = "new";
   Next.Workers.erase(Next.Workers.begin() + 1);
   Next.DomainsOut.clear();
-  const DocumentChange Change = changeOf(Entry.View.InForce.get(), Next);
+  const DocumentChange Change = compareDocuments(Entry.View.InForce.get(), Next);
   BOOST_TEST(Change.WouldApply);
   BOOST_TEST(Change.WorkersToLoad == 2U);
   for (const ListChange &One : Change.Lists) {
@@ -117,5 +117,5 @@
                (One.List == "workers" || One.List == "domains_out" ? 1U : 0U));
     BOOST_TEST(One.Changed.size() == (One.List == "models" ? 1U : 0U));
   }
-  BOOST_TEST(!changeOf(&Next, *Entry.View.InForce).WouldApply);
+  BOOST_TEST(!compareDocuments(&Next, *Entry.View.InForce).WouldApply);
 }
--- a/tests/unit/store_document_test.cpp
+++ b/tests/unit/store_document_test.cpp
@@ -79,7 +79,7 @@
   DocumentPtr document() const {
     const PlatformFacts Facts{{"z1=r", "z2=r"}, 7700};
     const auto Doc = outcomeOf([&] {
-      return parseDocument(withVersion(documentOf(Items, Facts), 5));
+      return parseDocument(withVersion(buildDocument(Items, Facts), 5));
     });
     BOOST_REQUIRE_MESSAGE(Doc.Value.has_value(), Doc.Why.Detail);
     return *Doc.Value;
@@ -104,7 +104,7 @@
   BOOST_TEST(Doc->Routes[1].Targets.size() == 2U);
   BOOST_TEST(Doc->Routes[1].Regions.contains({"r"}));
   BOOST_TEST(Doc->Limits.MaxHeadBytes == 8192U);
-  BOOST_TEST(Doc->Tenants[0].Keys[0] == "k");
+  BOOST_TEST(Doc->Workspaces[0].Keys[0] == "k");
   BOOST_TEST(Doc->Models[0].Set.Value == "m@3");
   BOOST_TEST(Doc->Models[0].Origin.Value == "10.0.0.9:80");
   BOOST_REQUIRE(Doc->Servers.size() == 1U);
@@ -155,7 +155,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(NothingIsPublishedBeforeAConfiguration) {
-  BOOST_TEST(documentOf(StoreItems{}, {}).empty());
+  BOOST_TEST(buildDocument(StoreItems{}, {}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(PagesAndChangesMakeACopy) {
@@ -204,10 +204,10 @@
   // next change of the store.
   Store TestStore;
   TestStore.put("servers/a", serverItem("10.0.0.1:80"));
-  const std::string Whole = documentOf(TestStore.Items, {});
+  const std::string Whole = buildDocument(TestStore.Items, {});
   LastPublished Last;
   BOOST_TEST(documentToOffer(Last, Whole, 7, {}, {}) == withVersion(Whole, 7));
-  const std::string Empty = documentOf(Store().Items, {});
+  const std::string Empty = buildDocument(Store().Items, {});
   const Digest InForce = sha256(withVersion(Empty, 8));
   BOOST_TEST(documentToOffer(Last, Whole, 7, {8}, InForce).empty());
   BOOST_TEST(documentToOffer(Last, Whole, 9, {8}, InForce) ==
@@ -220,7 +220,7 @@
   // Two entries read changes that do not affect the document, at different
   // revisions. If each took the other's version for a newer document, they
   // would publish the same document for ever.
-  const std::string Doc = documentOf(Store().Items, {});
+  const std::string Doc = buildDocument(Store().Items, {});
   LastPublished Last;
   documentToOffer(Last, Doc, 7, {}, {});
   const Digest InForce = sha256(withVersion(Doc, 8));
--- a/tests/unit/team_access_test.cpp
+++ b/tests/unit/team_access_test.cpp
@@ -51,21 +51,21 @@
                                    {"", ""}};
   for (const Case &One : Cases) {
     const auto Access =
-        outcomeOf([&] { return accessOf(Doc.get(), One.Header); });
+        outcomeOf([&] { return authenticateTeam(Doc.get(), One.Header); });
     BOOST_TEST((Access.Value ? Access.Value->Team : "") == One.Team);
     BOOST_TEST(Access.Why.Detail.find("huts-tok") == std::string::npos);
   }
-  BOOST_TEST(!outcomeOf([&] { return accessOf(nullptr, "Bearer x"); }).Value);
+  BOOST_TEST(!outcomeOf([&] { return authenticateTeam(nullptr, "Bearer x"); }).Value);
 }
 
-BOOST_AUTO_TEST_CASE(AMetricsPageNamesTenantsOnlyToTheirTeam) {
+BOOST_AUTO_TEST_CASE(AMetricsPageNamesWorkspacesOnlyToTheirTeam) {
   const DocumentPtr Doc = documentWithTwoTeams();
   TrafficMetrics Timings;
-  for (const char *Tenant : {"huts", "clubs", "made-up"})
-    Timings.observe(Timing::Whole, Doc.get(), TenantName{Tenant},
+  for (const char *Workspace : {"huts", "clubs", "made-up"})
+    Timings.observe(Timing::Whole, Doc.get(), WorkspaceName{Workspace},
                     ClassName{"bookings"}, Seconds(0.02));
   const auto PageFor = [&](const std::string &Header) {
-    return metricsText(visibleTo(Timings.collect(), Doc.get(), Header));
+    return metricsText(filterVisibleMetrics(Timings.collect(), Doc.get(), Header));
   };
   const std::string Open = PageFor("");
   BOOST_TEST(Open.find("tenant") == std::string::npos);
--- a/tests/unit/transfer_test.cpp
+++ b/tests/unit/transfer_test.cpp
@@ -34,7 +34,7 @@
   One.receiveHeldChunks(PeerB, 1);
   BOOST_TEST((One.advanceAndListAskedPeers(Millis(3000)) == NoLinks));
   BOOST_TEST((One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerB}));
-  chunkPeerGone(One.Transfer, PeerB, One.Now);
+  removeChunkPeer(One.Transfer, PeerB, One.Now);
   BOOST_TEST((One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerA}));
 }
 
@@ -110,8 +110,8 @@
   const auto &Hosts = One.Transfer.Plan.Hosts;
   const size_t Before =
       (One.Transfer.Plan.Self + Hosts.size() - 1) % Hosts.size();
-  chunkPeerReady(One.Transfer, PeerA, Hosts[Before].Name, true);
-  chunkPeerGone(One.Transfer, PeerA, One.Now);
+  addChunkPeer(One.Transfer, PeerA, Hosts[Before].Name, true);
+  removeChunkPeer(One.Transfer, PeerA, One.Now);
   One.receiveHeldChunks(PeerB, 1U << ((Before + 2) % 4));
   One.advanceAndListAskedPeers(Millis(900));
   BOOST_TEST(One.originFetchCount() == 0U);
@@ -129,7 +129,7 @@
   One.Weights.Held[sha256("a")] = makeChunkBytes("a");
   One.Transfer.Peers[PeerA].BacklogBytes = 5 << 20;
   for (int n = 0; n < 20; ++n)
-    chunkRequested(One.Transfer, One.Weights, PeerA, {sha256("a")}, One.Out);
+    queueUpload(One.Transfer, One.Weights, PeerA, {sha256("a")}, One.Out);
   BOOST_TEST(One.Transfer.Uploads.size() == 8U);
   One.advanceAndListAskedPeers();
   BOOST_TEST(One.Transfer.Uploads.size() == 8U);
@@ -158,9 +158,9 @@
   TimePoint Now{};
   int Tries = 1;
   for (; Order(After, 7) <= Known && Tries < 20; ++Tries)
-    orderEnded(After, false, Now);
+    recordOrderEnd(After, false, Now);
   BOOST_TEST(Tries < 12);
   for (int n = 0; n < 100; ++n)
-    orderEnded(Before, false, Now);
+    recordOrderEnd(Before, false, Now);
   BOOST_TEST((Order(Before, 6) < Known));
 }
