--- a/bench/chaos/route_checks.h
+++ b/bench/chaos/route_checks.h
@@ -16,16 +16,16 @@
 
 /** A run at a worker. */
 struct WorkerRun {
-  std::string Worker;  ///< Name of the worker.
-  std::string Id;      ///< Its id at that time.
-  int Version = 0;     ///< Version of its weights at that time.
-  Moment At;           ///< When it began.
-  std::string Attempt; ///< Attempt that it is for.
-  std::string Method;  ///< What it got.
-  std::string Path;    ///< What it got.
-  std::string Body;    ///< What it got.
-  std::string Workspace;  ///< Tenant that it was told.
-  bool HasKey = false; ///< Whether the caller's key came with it.
+  std::string Worker;    ///< Name of the worker.
+  std::string Id;        ///< Its id at that time.
+  int Version = 0;       ///< Version of its weights at that time.
+  Moment At;             ///< When it began.
+  std::string Attempt;   ///< Attempt that it is for.
+  std::string Method;    ///< What it got.
+  std::string Path;      ///< What it got.
+  std::string Body;      ///< What it got.
+  std::string Workspace; ///< Tenant that it was told.
+  bool HasKey = false;   ///< Whether the caller's key came with it.
 };
 
 /** Judges runs and answers as they come. Used by the main thread only. */
--- a/bench/fleet/fleet.h
+++ b/bench/fleet/fleet.h
@@ -54,7 +54,7 @@
 /** A request of a caller. */
 struct Ask {
   std::string Class = "reports";                       ///< Class of work.
-  std::string Workspace = "huts";                         ///< Whose.
+  std::string Workspace = "huts";                      ///< Whose.
   Json Body = {{"prompt", "snow"}, {"max_tokens", 4}}; ///< What.
   std::string Key;                                     ///< Idempotency key.
   bool Tokenless = false; ///< Send the key without its home token.
--- a/bench/fleet/open_load.h
+++ b/bench/fleet/open_load.h
@@ -22,10 +22,10 @@
 /** What became of one request. */
 struct Offered {
   std::string Workspace; ///< Whose.
-  int Status = 0;     ///< HTTP status.
-  double Begin = 0;   ///< Seconds since the start when it was sent.
-  double End = 0;     ///< Seconds since the start when its answer came.
-  int RetryAfter = 0; ///< Time to come back in ms; 0: none told.
+  int Status = 0;        ///< HTTP status.
+  double Begin = 0;      ///< Seconds since the start when it was sent.
+  double End = 0;        ///< Seconds since the start when its answer came.
+  int RetryAfter = 0;    ///< Time to come back in ms; 0: none told.
 };
 
 /**
--- a/packages/adapters/cli/command_line.cpp
+++ b/packages/adapters/cli/command_line.cpp
@@ -45,8 +45,8 @@
 
 std::optional<std::vector<std::string>>
 parseCommandLine(const std::string &Program, const std::string &Usage,
-                const std::vector<CommandOption> &Options, int Count,
-                const char **Arguments) {
+                 const std::vector<CommandOption> &Options, int Count,
+                 const char **Arguments) {
   const std::vector<poptOption> Table = poptTable(Options);
   const std::unique_ptr<poptContext_s, poptContext (*)(poptContext)> Context(
       poptGetContext(Program.c_str(), Count, Arguments, Table.data(), 0),
--- a/packages/adapters/cli/command_line.h
+++ b/packages/adapters/cli/command_line.h
@@ -32,8 +32,8 @@
  */
 std::optional<std::vector<std::string>>
 parseCommandLine(const std::string &Program, const std::string &Usage,
-                const std::vector<CommandOption> &Options, int Count,
-                const char **Arguments);
+                 const std::vector<CommandOption> &Options, int Count,
+                 const char **Arguments);
 
 } // namespace jacinthpond
 
--- a/packages/adapters/http/http_backends.cpp
+++ b/packages/adapters/http/http_backends.cpp
@@ -125,7 +125,8 @@
   return fail(ErrorKind::NotFound, "this engine gives nothing back");
 }
 
-Result<void> HttpEngine::load(const LoadOrder &Order, const LoadCallbacks &Steps) {
+Result<void> HttpEngine::load(const LoadOrder &Order,
+                              const LoadCallbacks &Steps) {
   httplib::Client Client = makeClient(Url, {ConnectTimeout, LongTimeout});
   Json Body = {{"fence", Order.Fence.Value},
                {"set", Order.Set.Value},
--- a/packages/adapters/http/http_backends.h
+++ b/packages/adapters/http/http_backends.h
@@ -26,7 +26,8 @@
   Result<EngineState> state() override;
   Result<void> stage(const ChunkRef &Chunk, const std::string &Bytes) override;
   Result<std::string> readStagedContent(const ChunkRef &Chunk) override;
-  Result<void> load(const LoadOrder &Order, const LoadCallbacks &Steps) override;
+  Result<void> load(const LoadOrder &Order,
+                    const LoadCallbacks &Steps) override;
 
 private:
   std::string Url;
--- a/packages/adapters/metrics/metrics_page.cpp
+++ b/packages/adapters/metrics/metrics_page.cpp
@@ -55,7 +55,8 @@
 
 /** Says whether a team may see the workspace and the class of a series. */
 bool maySeeSeries(const TeamAccess &Access, const ClientMetric &Series) {
-  return canSeeWorkspace(Access, WorkspaceName{labelValue(Series, WorkspaceLabel)}) &&
+  return canSeeWorkspace(Access,
+                         WorkspaceName{labelValue(Series, WorkspaceLabel)}) &&
          canSeeClass(Access, ClassName{labelValue(Series, ClassLabel)});
 }
 
@@ -95,9 +96,11 @@
   addFamily(Into, prometheus::MetricType::Counter, Spec, Values);
 }
 
-MetricFamilies filterVisibleMetrics(const MetricFamilies &All, const Document *Doc,
-                         const std::string &Authorization) {
-  const auto Access = outcomeOf([&] { return authenticateTeam(Doc, Authorization); });
+MetricFamilies filterVisibleMetrics(const MetricFamilies &All,
+                                    const Document *Doc,
+                                    const std::string &Authorization) {
+  const auto Access =
+      outcomeOf([&] { return authenticateTeam(Doc, Authorization); });
   MetricFamilies Shown;
   for (const MetricFamily &Family : All) {
     if (!namesWorkspaces(Family)) {
--- a/packages/adapters/metrics/metrics_page.h
+++ b/packages/adapters/metrics/metrics_page.h
@@ -60,8 +60,9 @@
  * @return Series of the workspaces and classes that the reader's team may see;
  *         sums over workspaces for a reader without a valid token.
  */
-MetricFamilies filterVisibleMetrics(const MetricFamilies &All, const Document *Doc,
-                         const std::string &Authorization);
+MetricFamilies filterVisibleMetrics(const MetricFamilies &All,
+                                    const Document *Doc,
+                                    const std::string &Authorization);
 
 /**
  * Serializes a page.
--- a/packages/adapters/metrics/traffic_metrics.cpp
+++ b/packages/adapters/metrics/traffic_metrics.cpp
@@ -35,8 +35,8 @@
 }
 
 void TrafficMetrics::observe(Timing Kind, const Document *Doc,
-                             const WorkspaceName &Workspace, const ClassName &Class,
-                             Seconds Duration) {
+                             const WorkspaceName &Workspace,
+                             const ClassName &Class, Seconds Duration) {
   observeSeries(labelsFor(Doc, Workspace, Class), Kind, Duration);
 }
 
--- a/packages/adapters/metrics/traffic_metrics.h
+++ b/packages/adapters/metrics/traffic_metrics.h
@@ -38,7 +38,7 @@
    * @param Kind The timing that was measured.
    * @param Doc Document in force; may be null. Names that it does not contain
    *        count as "other", so that callers cannot create series.
-   * @param Tenant Workspace of the request.
+   * @param Workspace Workspace of the request.
    * @param Class Class of the request.
    * @param Duration Measured duration.
    */
--- a/packages/adapters/threads/process.cpp
+++ b/packages/adapters/threads/process.cpp
@@ -90,8 +90,9 @@
                                                : SignalAction::Reload;
 }
 
-void reloadSettingsUntilStop(const std::string &Path, SettingOwner Program,
-                 const std::function<void(const Settings &)> &Apply) {
+void reloadSettingsUntilStop(
+    const std::string &Path, SettingOwner Program,
+    const std::function<void(const Settings &)> &Apply) {
   const auto ReadText = [&] {
     return outcomeOf([&] { return readFile(Path); }).Value.value_or("");
   };
--- a/packages/adapters/threads/process.h
+++ b/packages/adapters/threads/process.h
@@ -67,8 +67,9 @@
  * @param Program The program that the settings are for.
  * @param Apply Called with each new valid version of the settings.
  */
-void reloadSettingsUntilStop(const std::string &Path, SettingOwner Program,
-                 const std::function<void(const Settings &)> &Apply);
+void reloadSettingsUntilStop(
+    const std::string &Path, SettingOwner Program,
+    const std::function<void(const Settings &)> &Apply);
 
 /**
  * Sets up the log and writes its first line.
--- a/packages/agent/src/agent_admin.cpp
+++ b/packages/agent/src/agent_admin.cpp
@@ -46,8 +46,8 @@
       Doc = State.View.InForce;
     });
     Answer.set_content(
-        metricsText(filterVisibleMetrics(All, Doc.get(),
-                              Request.get_header_value("Authorization"))),
+        metricsText(filterVisibleMetrics(
+            All, Doc.get(), Request.get_header_value("Authorization"))),
         "text/plain; version=0.0.4");
   });
 }
--- a/packages/agent/src/agent_shell.cpp
+++ b/packages/agent/src/agent_shell.cpp
@@ -57,10 +57,10 @@
 AgentShell::AgentShell(const Settings &Config, const BackEnds &Ports)
     : Loop(Clock), Pauses(Clock.now(), Millis(Config.PauseGapMillis)),
       State(makeAgent(Config, Incarnation{randomIncarnation()}, Clock.now())),
-      Ports(Ports),
-      Runners(std::make_unique<httplib::ThreadPool>(
-          isOnStorePlatform(Config) ? 1 // Requests do not pass through the agent.
-                              : static_cast<size_t>(Config.WarmLimit))),
+      Ports(Ports), Runners(std::make_unique<httplib::ThreadPool>(
+                        isOnStorePlatform(Config)
+                            ? 1 // Requests do not pass through the agent.
+                            : static_cast<size_t>(Config.WarmLimit))),
       Fetchers(std::make_unique<httplib::ThreadPool>(FetchThreadCount)),
       Links({[this](LinkId Link) {
                post([this, Link](TimePoint Now, Effects &Out) {
@@ -143,7 +143,8 @@
             [this](const CloseLink &e) { Links.close(e.Link); },
             [this](const SendMessage &e) {
               if (const auto *Frame = std::get_if<AnswerFrame>(&e.Content))
-                countAnswerBytes(State, e.Link, Frame->Data.size(), Clock.now());
+                countAnswerBytes(State, e.Link, Frame->Data.size(),
+                                 Clock.now());
               Links.send(e.Link, e.Content);
             },
             [this](const RunModel &e) {
@@ -197,11 +198,12 @@
   if (it == State.Attempts.end())
     return;
   const Attempt &One = it->second;
-  Timings.observe(Timing::Queued, State.View.InForce.get(), One.StartMessage.Workspace,
-                  One.StartMessage.Class, Clock.now() - One.ArrivedAt);
+  Timings.observe(Timing::Queued, State.View.InForce.get(),
+                  One.StartMessage.Workspace, One.StartMessage.Class,
+                  Clock.now() - One.ArrivedAt);
   logLine(LogPart::Requests, LogLevel::Debug,
-          "Request " + One.StartMessage.Request.Value + ": attempt " + Which.Value +
-              " goes to the back end.");
+          "Request " + One.StartMessage.Request.Value + ": attempt " +
+              Which.Value + " goes to the back end.");
 }
 
 bool AgentShell::isCancelled(const AttemptId &Which) {
@@ -268,7 +270,8 @@
 void AgentShell::reportStagedChunks(const std::vector<ChunkRef> &Chunks) {
   size_t Mismatches = 0;
   for (const ChunkRef &Chunk : Chunks) {
-    auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
+    auto Read =
+        outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
     ChunkBytes Bytes;
     if (Read.Value)
       Bytes = std::make_shared<const std::string>(std::move(*Read.Value));
@@ -335,7 +338,8 @@
                                       const ChunkBytes &Bytes) {
   if (Bytes != nullptr)
     return Ports.Engine->stage(Chunk, *Bytes);
-  const auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
+  const auto Read =
+      outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
   if (Read.Value && sha256(*Read.Value) == Chunk.Content)
     return {};
   reportDamagedChunk(Chunk.Content);
@@ -346,7 +350,8 @@
   const TimePoint Limit = Clock.now() + MaxConfirmTime;
   for (size_t n = 0; n < Order.Chunks.size(); ++n) {
     const ChunkRef Chunk{Order.Model, Order.Version, n, Order.Chunks[n], {}};
-    auto Read = outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
+    auto Read =
+        outcomeOf([&] { return Ports.Engine->readStagedContent(Chunk); });
     // An engine that does not answer now may have loaded the staged set all the
     // same, so the read is retried.
     while (!Read.Value && Clock.now() < Limit && !Ending) {
@@ -492,7 +497,9 @@
 }
 
 bool AgentShell::drain() {
-  post([this](TimePoint Now, Effects &Out) { beginAgentShutdown(State, Now, Out); });
+  post([this](TimePoint Now, Effects &Out) {
+    beginAgentShutdown(State, Now, Out);
+  });
   const TimePoint Limit =
       Clock.now() + maxShutdownTime(State.Config, ShutdownMargin);
   size_t Open = 0;
--- a/packages/agent/src/main.cpp
+++ b/packages/agent/src/main.cpp
@@ -52,7 +52,8 @@
   }
   announceReady({{"peers", PeerAddress}, {"admin", AdminAddress}});
   // No setting of an agent can change while it runs.
-  reloadSettingsUntilStop(SettingsPath, SettingOwner::Agent, [](const Settings &) {});
+  reloadSettingsUntilStop(SettingsPath, SettingOwner::Agent,
+                          [](const Settings &) {});
   shutDown([&] { return Shell.drain(); });
   return ExitDone;
 }
--- a/packages/core/src/admission/admission.cpp
+++ b/packages/core/src/admission/admission.cpp
@@ -92,7 +92,8 @@
   clearGaps(Gate.Pace);
 }
 
-void applyBackEndReport(Admission &Gate, uint32_t Running, bool Cold, bool Fresh) {
+void applyBackEndReport(Admission &Gate, uint32_t Running, bool Cold,
+                        bool Fresh) {
   // The report lags and may omit attempts that started since the previous one,
   // so only attempts that ran at both reports are subtracted.
   const uint32_t Known = std::min(Gate.RunningAtReport, Gate.Running);
@@ -111,7 +112,8 @@
          occupiedSlots(Gate) + Kept < Gate.Limit;
 }
 
-AdmissionResult requestAdmission(Admission &Gate, const AdmissionRequest &One, bool AtOnce) {
+AdmissionResult requestAdmission(Admission &Gate, const AdmissionRequest &One,
+                                 bool AtOnce) {
   if (One.Alone)
     return requestToRunAlone(Gate, One.Who.Attempt);
   if (AtOnce && canRunNow(Gate)) {
@@ -133,7 +135,7 @@
 }
 
 void recordRunEnd(Admission &Gate, const AttemptId &Attempt, RunEnd How,
-              Duration Took) {
+                  Duration Took) {
   if (How == RunEnd::Complete) {
     updateServiceTime(Gate, Took);
     growLimit(Gate);
--- a/packages/core/src/admission/admission_func.h
+++ b/packages/core/src/admission/admission_func.h
@@ -26,7 +26,8 @@
  * @param Fresh First report of this incarnation of the back end: requests that
  *   this process did not start count towards the limit.
  */
-void applyBackEndReport(Admission &Gate, uint32_t Running, bool Cold, bool Fresh);
+void applyBackEndReport(Admission &Gate, uint32_t Running, bool Cold,
+                        bool Fresh);
 
 /**
  * Says whether a new attempt could run now, without queueing.
@@ -44,13 +45,13 @@
  * @return The decision, with a retry time for a refusal.
  */
 AdmissionResult requestAdmission(Admission &Gate, const AdmissionRequest &One,
-                         bool AtOnce = true);
+                                 bool AtOnce = true);
 
 /** How a run ended, with regard to the load of the back end. */
 enum class RunEnd : uint8_t {
-  Complete,    ///< Completed; only completed runs warm a back end.
+  Complete,   ///< Completed; only completed runs warm a back end.
   NotStarted, ///< It never reached the back end.
-  Abandoned    ///< Given up here; the back end may still run it.
+  Abandoned   ///< Given up here; the back end may still run it.
 };
 
 /**
@@ -61,7 +62,7 @@
  * @param Took How long it ran.
  */
 void recordRunEnd(Admission &Gate, const AttemptId &Attempt, RunEnd How,
-              Duration Took);
+                  Duration Took);
 
 /**
  * Records the gap before a token, and lowers the limit when recent gaps show
--- a/packages/core/src/admission/admission_type.h
+++ b/packages/core/src/admission/admission_type.h
@@ -34,8 +34,8 @@
 
 /** Result of a request for admission. */
 struct AdmissionResult {
-  AdmissionDecision Decision = AdmissionDecision::Refuse;    ///< The decision.
-  Millis RetryAfter{0};               ///< Set for a refusal; 0: unknown.
+  AdmissionDecision Decision = AdmissionDecision::Refuse; ///< The decision.
+  Millis RetryAfter{0};                    ///< Set for a refusal; 0: unknown.
   std::optional<AttemptId> EvictedAttempt; ///< Removed from the full queue.
 };
 
--- a/packages/core/src/admission/fair_queue.cpp
+++ b/packages/core/src/admission/fair_queue.cpp
@@ -15,7 +15,8 @@
 using Rotation = std::deque<WorkspaceQueue>;
 
 /** Finds the queue of a workspace; end() if it has none. */
-Rotation::iterator findWorkspace(Rotation &All, const WorkspaceName &Workspace) {
+Rotation::iterator findWorkspace(Rotation &All,
+                                 const WorkspaceName &Workspace) {
   return std::ranges::find(All, Workspace, &WorkspaceQueue::Workspace);
 }
 
--- a/packages/core/src/admission/fair_queue_type.h
+++ b/packages/core/src/admission/fair_queue_type.h
@@ -15,15 +15,15 @@
 
 /** An attempt that may be queued. */
 struct Waiter {
-  AttemptId Attempt;     ///< Its id.
-  WorkspaceName Workspace;     ///< Workspace that it belongs to.
-  uint32_t Weight = 1;   ///< Share of the workspace.
-  uint32_t Priority = 1; ///< Priority of its class; higher goes first.
+  AttemptId Attempt;       ///< Its id.
+  WorkspaceName Workspace; ///< Workspace that it belongs to.
+  uint32_t Weight = 1;     ///< Share of the workspace.
+  uint32_t Priority = 1;   ///< Priority of its class; higher goes first.
 };
 
 /** Queued attempts of one workspace at one priority. */
 struct WorkspaceQueue {
-  WorkspaceName Workspace;             ///< The workspace.
+  WorkspaceName Workspace;       ///< The workspace.
   uint32_t Weight = 1;           ///< Attempts dequeued in one turn.
   uint32_t Credit = 0;           ///< Attempts left in the current turn.
   std::deque<AttemptId> Waiting; ///< In order of arrival; never empty.
--- a/packages/core/src/admission/quarantine.cpp
+++ b/packages/core/src/admission/quarantine.cpp
@@ -38,14 +38,15 @@
 Digest fingerprintOf(const WorkspaceName &Workspace, const ClassName &Class,
                      std::string_view Body) {
   // Without the lengths, different fields could concatenate to equal strings.
-  std::string All = std::to_string(Workspace.Value.size()) + "/" + Workspace.Value +
-                    std::to_string(Class.Value.size()) + "/" + Class.Value;
+  std::string All = std::to_string(Workspace.Value.size()) + "/" +
+                    Workspace.Value + std::to_string(Class.Value.size()) + "/" +
+                    Class.Value;
   All.append(Body);
   return sha256(All);
 }
 
 bool applySuspectNotice(Quarantine &State, const SuspectNotice &Notice,
-                 TimePoint Now) {
+                        TimePoint Now) {
   const Millis Age(static_cast<int64_t>(
       std::min<uint64_t>(Notice.AgeMillis, SuspectLifetime.count())));
   if (Age >= SuspectLifetime)
@@ -81,7 +82,7 @@
 }
 
 Millis refusalTimeLeft(const Quarantine &State, const Digest &Fingerprint,
-                  TimePoint Now) {
+                       TimePoint Now) {
   const Suspect *One = findSuspect(State, Fingerprint, Now);
   return One == nullptr ? Millis{0}
                         : toMillis(One->Last + SuspectLifetime - Now);
@@ -123,7 +124,7 @@
 }
 
 void broadcastNotice(const Membership &Fleet, const Message &Notice,
-                  std::optional<Role> Only, Effects &Out) {
+                     std::optional<Role> Only, Effects &Out) {
   for (const auto &[Link, Peer] : Fleet.Links)
     if (Peer.State == LinkState::Ready && (!Only || Peer.Peer.Sender == *Only))
       Out.push_back(SendMessage{Link, Notice});
--- a/packages/core/src/admission/quarantine_func.h
+++ b/packages/core/src/admission/quarantine_func.h
@@ -21,7 +21,7 @@
 /**
  * Identifies a request by a digest of its content, so that repeats are
  * recognised on every host.
- * @param Tenant Workspace of the request.
+ * @param Workspace Workspace of the request.
  * @param Class Class of work.
  * @param Body Body of the request.
  * @return The fingerprint.
@@ -36,7 +36,8 @@
  * @param Now Current time.
  * @return True when it changed the state and has to be forwarded to peers.
  */
-bool applySuspectNotice(Quarantine &State, const SuspectNotice &Notice, TimePoint Now);
+bool applySuspectNotice(Quarantine &State, const SuspectNotice &Notice,
+                        TimePoint Now);
 
 /**
  * Gives how to treat a request.
@@ -56,7 +57,7 @@
  * @return Time left; 0 for a request that is no suspect.
  */
 Millis refusalTimeLeft(const Quarantine &State, const Digest &Fingerprint,
-                  TimePoint Now);
+                       TimePoint Now);
 
 /**
  * Clears a suspect that ran to completion, and notifies peers: it did not cause
@@ -95,7 +96,7 @@
  * @param Out Effects are appended.
  */
 void broadcastNotice(const Membership &Fleet, const Message &Notice,
-                  std::optional<Role> Only, Effects &Out);
+                     std::optional<Role> Only, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/reading.cpp
+++ b/packages/core/src/admission/reading.cpp
@@ -17,24 +17,26 @@
 
 } // namespace
 
-Duration prefillTimeLeft(const PrefillQueue &Debt, TimePoint Now) {
-  return std::max(Debt.Backlog - (Now - Debt.UpdatedAt), Duration{0});
+Duration prefillTimeLeft(const PrefillQueue &UnreadPrompts, TimePoint Now) {
+  return std::max(UnreadPrompts.Backlog - (Now - UnreadPrompts.UpdatedAt),
+                  Duration{0});
 }
 
-bool maySendPrompt(const PrefillQueue &Debt, TimePoint Now) {
-  return prefillTimeLeft(Debt, Now) <= MaxTimeLeftToSend;
+bool maySendPrompt(const PrefillQueue &UnreadPrompts, TimePoint Now) {
+  return prefillTimeLeft(UnreadPrompts, Now) <= MaxTimeLeftToSend;
 }
 
-Duration prefillTime(const PrefillQueue &Debt, uint32_t Tokens) {
-  if (Debt.TokensPerSecond <= 0)
+Duration prefillTime(const PrefillQueue &UnreadPrompts, uint32_t Tokens) {
+  if (UnreadPrompts.TokensPerSecond <= 0)
     return Duration{0};
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(Tokens / Debt.TokensPerSecond));
+      std::chrono::duration<double>(Tokens / UnreadPrompts.TokensPerSecond));
 }
 
-void addPrompt(PrefillQueue &Debt, uint32_t Tokens, TimePoint Now) {
-  Debt.Backlog = prefillTimeLeft(Debt, Now) + prefillTime(Debt, Tokens);
-  Debt.UpdatedAt = Now;
+void addPrompt(PrefillQueue &UnreadPrompts, uint32_t Tokens, TimePoint Now) {
+  UnreadPrompts.Backlog =
+      prefillTimeLeft(UnreadPrompts, Now) + prefillTime(UnreadPrompts, Tokens);
+  UnreadPrompts.UpdatedAt = Now;
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/admission/reading_func.h
+++ b/packages/core/src/admission/reading_func.h
@@ -18,35 +18,35 @@
 
 /**
  * Gives the time to read the prompts that are left.
- * @param Debt The state.
+ * @param UnreadPrompts The state.
  * @param Now Current time.
  * @return The time; 0 when all have been read.
  */
-Duration prefillTimeLeft(const PrefillQueue &Debt, TimePoint Now);
+Duration prefillTimeLeft(const PrefillQueue &UnreadPrompts, TimePoint Now);
 
 /**
  * Says whether another prompt may be sent to the back end.
- * @param Debt The state.
+ * @param UnreadPrompts The state.
  * @param Now Current time.
  * @return False while too much is left to read.
  */
-bool maySendPrompt(const PrefillQueue &Debt, TimePoint Now);
+bool maySendPrompt(const PrefillQueue &UnreadPrompts, TimePoint Now);
 
 /**
  * Gives the time to read one prompt.
- * @param Debt The state.
+ * @param UnreadPrompts The state.
  * @param Tokens Length of the prompt.
  * @return The time; 0 when the rate is unknown.
  */
-Duration prefillTime(const PrefillQueue &Debt, uint32_t Tokens);
+Duration prefillTime(const PrefillQueue &UnreadPrompts, uint32_t Tokens);
 
 /**
  * Adds a prompt that is sent to the back end.
- * @param Debt State to change.
+ * @param UnreadPrompts State to change.
  * @param Tokens Length of the prompt.
  * @param Now Current time.
  */
-void addPrompt(PrefillQueue &Debt, uint32_t Tokens, TimePoint Now);
+void addPrompt(PrefillQueue &UnreadPrompts, uint32_t Tokens, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/admission/server_rate.cpp
+++ b/packages/core/src/admission/server_rate.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-RateChange recordRateLimit(ServerRate &Rate, double PerSecond, TimePoint AnswerArrivedAt) {
+RateChange recordRateLimit(ServerRate &Rate, double PerSecond,
+                           TimePoint AnswerArrivedAt) {
   if (AnswerArrivedAt < Rate.LiftedAt)
     return RateChange::None;
   Rate.LimitSeenAt = std::max(Rate.LimitSeenAt, AnswerArrivedAt);
--- a/packages/core/src/admission/server_rate_func.h
+++ b/packages/core/src/admission/server_rate_func.h
@@ -16,7 +16,8 @@
  * @param AnswerArrivedAt When the answer arrived.
  * @return Whether the limit is new or has another value.
  */
-RateChange recordRateLimit(ServerRate &Rate, double PerSecond, TimePoint AnswerArrivedAt);
+RateChange recordRateLimit(ServerRate &Rate, double PerSecond,
+                           TimePoint AnswerArrivedAt);
 
 /**
  * Records an answer without a limit. Answers may overtake each other, so this
--- a/packages/core/src/admission/server_rate_type.h
+++ b/packages/core/src/admission/server_rate_type.h
@@ -18,7 +18,7 @@
  */
 struct ServerRate {
   std::optional<double> PerSecond; ///< Requests per second; empty: no limit.
-  TimePoint LimitSeenAt;               ///< When an answer last announced it.
+  TimePoint LimitSeenAt;           ///< When an answer last announced it.
   TimePoint LiftedAt; ///< Send time of the last request whose answer had
                       ///< no limit.
   RateLimit Share;    ///< This process's share of it.
--- a/packages/core/src/admission/token_pace.cpp
+++ b/packages/core/src/admission/token_pace.cpp
@@ -33,8 +33,8 @@
     return;
   const Duration Median = medianGap(Pace);
   Pace.WarmGap = Pace.WarmGap.count() == 0
-                  ? Median
-                  : (Pace.WarmGap * OldWeight + Median) / (OldWeight + 1);
+                     ? Median
+                     : (Pace.WarmGap * OldWeight + Median) / (OldWeight + 1);
 }
 
 void clearGaps(TokenPace &Pace) { Pace.Seen = 0; }
--- a/packages/core/src/attempts/agent.cpp
+++ b/packages/core/src/attempts/agent.cpp
@@ -138,7 +138,7 @@
     const ModelVersion *Wanted = findModel(Doc, Self->Model);
     if (Wanted != nullptr)
       recordNewestSet(Agent.Weights, Wanted->Set,
-                 Agent.View.PublishedAfter.value_or(Now));
+                      Agent.View.PublishedAfter.value_or(Now));
     if (Wanted != nullptr && !Wanted->Origin.Value.empty())
       obtainChunkList(Agent, *Wanted, Now, Out);
     else if (Wanted != nullptr)
@@ -159,7 +159,7 @@
   if (it == Agent.Fleet.Links.end() || it->second.Peer.Sender != Role::Agent)
     return;
   addChunkPeer(Agent.Transfer, Link, it->second.Peer.Name,
-                 it->second.Peer.Domain == Agent.Fleet.Self.Domain);
+               it->second.Peer.Domain == Agent.Fleet.Self.Domain);
 }
 
 /** Lowers the concurrency limit to its cold value when most answers have
@@ -262,7 +262,7 @@
 }
 
 void handleAgentLinkOpened(AgentState &Agent, LinkId Link, TimePoint Now,
-                     Effects &Out) {
+                           Effects &Out) {
   handleLinkOpened(Agent.Fleet, Link, Now, Out);
 }
 
@@ -285,7 +285,7 @@
 }
 
 void handleAgentMessage(AgentState &Agent, LinkId Link, const Message &m,
-                  TimePoint Now, Effects &Out) {
+                        TimePoint Now, Effects &Out) {
   detectAgentPause(Agent, Now, Out);
   if (!recordLinkActivity(Agent.Fleet, Link, Now))
     return;
@@ -322,7 +322,8 @@
                         },
                         [&](const ChunkHave &Have) {
                           recordAnnouncement(Agent.Transfer, Link, Have, Now);
-                          advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
+                          advanceTransfer(Agent.Transfer, Agent.Weights, Now,
+                                          Out);
                         },
                         [&](const ChunkListNotice &List) {
                           if (handleListNotice(Agent, Link, List, Now, Out))
@@ -330,7 +331,7 @@
                         },
                         [&](const ChunkRequest &Request) {
                           queueUpload(Agent.Transfer, Agent.Weights, Link,
-                                         Request, Out);
+                                      Request, Out);
                           sendUploads(Agent.Transfer, Agent.Weights, Now, Out);
                         },
                         [&](const SuspectNotice &Notice) {
@@ -347,7 +348,7 @@
 }
 
 void handleEngineStart(AgentState &Agent, const AttemptId &Which,
-                 const Digest &Weights, Effects &Out) {
+                       const Digest &Weights, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
     return;
@@ -365,7 +366,7 @@
 }
 
 void handleEngineToken(AgentState &Agent, const AttemptId &Which,
-                 const std::string &Token, TimePoint Now, Effects &Out) {
+                       const std::string &Token, TimePoint Now, Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   if (it == Agent.Attempts.end())
     return;
@@ -374,14 +375,15 @@
 }
 
 void handleEngineEnd(AgentState &Agent, const AttemptId &Which,
-                 const Outcome<EngineEnd> &End, TimePoint Now, Effects &Out) {
+                     const Outcome<EngineEnd> &End, TimePoint Now,
+                     Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   const bool Known = it != Agent.Attempts.end();
   const bool Complete = Known && End.Value &&
                         End.Value->Count == nextFrameNumber(it->second) &&
                         End.Value->Weights == it->second.Weights;
   recordRunEnd(Agent.Gate, Which, runEndOf(Complete, End),
-           Known ? Now - it->second.StartedAt : Duration{0});
+               Known ? Now - it->second.StartedAt : Duration{0});
   if (Complete) {
     clearSuspicion(Agent, it->second, Now, Out);
     finishAttempt(Agent, Which, 200, Out);
@@ -400,14 +402,14 @@
 }
 
 void handleServiceAnswer(AgentState &Agent, const AttemptId &Which,
-                     const Outcome<ServiceAnswer> &Answer, TimePoint Now,
-                     Effects &Out) {
+                         const Outcome<ServiceAnswer> &Answer, TimePoint Now,
+                         Effects &Out) {
   const auto it = Agent.Attempts.find(Which);
   // A plain service does not report what it runs. A run without an answer
   // therefore counts as over at once.
-  recordRunEnd(Agent.Gate, Which, Answer.Value ? RunEnd::Complete : RunEnd::NotStarted,
-           it == Agent.Attempts.end() ? Duration{0}
-                                      : Now - it->second.StartedAt);
+  recordRunEnd(
+      Agent.Gate, Which, Answer.Value ? RunEnd::Complete : RunEnd::NotStarted,
+      it == Agent.Attempts.end() ? Duration{0} : Now - it->second.StartedAt);
   if (it == Agent.Attempts.end())
     return;
   const AttemptStart Asked = it->second.StartMessage;
@@ -425,7 +427,7 @@
 }
 
 void handleEngineReport(AgentState &Agent, const Outcome<EngineState> &Read,
-                     uint64_t OrdersEnded, TimePoint Now, Effects &Out) {
+                        uint64_t OrdersEnded, TimePoint Now, Effects &Out) {
   // A report requested before the last load order ended is outdated.
   const bool Current = OrdersEnded == Agent.Weights.OrdersEnded &&
                        OrdersEnded == Agent.Weights.OrdersSent;
@@ -458,14 +460,14 @@
   }
   if (Read.Value)
     applyBackEndReport(Agent.Gate, Read.Value->Running, Read.Value->Cold,
-                    Restarted);
+                       Restarted);
   startWaitingWork(Agent, Now, Out);
   loadInTurn(Agent, Now, Out);
   announceLoadChange(Agent, Now, Out);
 }
 
 void handleServiceProbe(AgentState &Agent, const Outcome<std::string> &Read,
-                   TimePoint Now, Effects &Out) {
+                        TimePoint Now, Effects &Out) {
   Agent.BackEndUp = Read.Value.has_value();
   const std::string Run = Read.Value.value_or("");
   if (Run != Agent.ServiceRun)
@@ -475,7 +477,7 @@
 }
 
 void handleOriginChunk(AgentState &Agent, const Digest &Chunk,
-                    const DigestedChunk &Came, TimePoint Now, Effects &Out) {
+                       const DigestedChunk &Came, TimePoint Now, Effects &Out) {
   receiveChunkFromOrigin(Agent.Transfer, Agent.Weights, Chunk, Came, Now, Out);
   advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
@@ -483,14 +485,14 @@
 }
 
 void handleOriginChunkList(AgentState &Agent, const ChunkRef &Version,
-                   const Outcome<ChunkList> &Read, TimePoint Now,
-                   Effects &Out) {
+                           const Outcome<ChunkList> &Read, TimePoint Now,
+                           Effects &Out) {
   if (handleListRead(Agent, Version, Read, Now, Out))
     announceLoadChange(Agent, Now, Out);
 }
 
 void handlePeerChunkPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
-                  TimePoint Now, Effects &Out) {
+                         TimePoint Now, Effects &Out) {
   if (!recordLinkActivity(Agent.Fleet, Link, Now))
     return;
   auto Joined = receiveChunkPart(Agent.Transfer, Link, Data, Now, Out);
@@ -500,11 +502,11 @@
   if (!Joined->empty())
     Bytes = std::make_shared<const std::string>(std::move(*Joined));
   handlePeerChunk(Agent, Link, Data.Chunk, digestChunk(std::move(Bytes)), Now,
-                Out);
+                  Out);
 }
 
 void handleStagedChunk(AgentState &Agent, const ChunkRef &Chunk, bool Staged,
-                 TimePoint Now, Effects &Out) {
+                       TimePoint Now, Effects &Out) {
   recordStagedChunk(Agent.Transfer, Agent.Weights, Chunk, Staged, Now);
   advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
@@ -512,7 +514,7 @@
 }
 
 void handleDamagedChunk(AgentState &Agent, const Digest &Chunk, TimePoint Now,
-                 Effects &Out) {
+                        Effects &Out) {
   Out.push_back(LogNote{LogPart::Weights, LogLevel::Warn,
                         "Staged chunk " + Chunk.Value +
                             " is damaged, fetching it again"});
@@ -521,16 +523,18 @@
 }
 
 void handlePeerChunk(AgentState &Agent, LinkId Link, const Digest &Chunk,
-                   const DigestedChunk &Came, TimePoint Now, Effects &Out) {
+                     const DigestedChunk &Came, TimePoint Now, Effects &Out) {
   if (!recordLinkActivity(Agent.Fleet, Link, Now))
     return;
-  receiveChunkFromPeer(Agent.Transfer, Agent.Weights, Link, Chunk, Came, Now, Out);
+  receiveChunkFromPeer(Agent.Transfer, Agent.Weights, Link, Chunk, Came, Now,
+                       Out);
   advanceTransfer(Agent.Transfer, Agent.Weights, Now, Out);
   loadInTurn(Agent, Now, Out);
   refreshLoad(Agent);
 }
 
-void countAnswerBytes(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now) {
+void countAnswerBytes(AgentState &Agent, LinkId Link, uint64_t Bytes,
+                      TimePoint Now) {
   const auto it = Agent.Fleet.Links.find(Link);
   if (it != Agent.Fleet.Links.end() &&
       it->second.Peer.Domain != Agent.Fleet.Self.Domain)
@@ -544,7 +548,7 @@
 }
 
 void handleLoadResult(AgentState &Agent, const std::optional<Failure> &Why,
-               TimePoint Now, Effects &Out) {
+                      TimePoint Now, Effects &Out) {
   const bool Unknown = Why && Why->Kind == ErrorKind::OutcomeUnknown;
   recordOrderEnd(Agent.Weights, !Why, Now);
   if (!Why)
--- a/packages/core/src/attempts/agent_func.h
+++ b/packages/core/src/attempts/agent_func.h
@@ -25,7 +25,7 @@
  * @param Out Effects are appended.
  */
 void handleAgentLinkOpened(AgentState &Agent, LinkId Link, TimePoint Now,
-                     Effects &Out);
+                           Effects &Out);
 
 /**
  * Removes a link that has closed. Its attempts and granted slots are kept for
@@ -55,7 +55,7 @@
  * @param Out Effects are appended.
  */
 void handleAgentMessage(AgentState &Agent, LinkId Link, const Message &m,
-                  TimePoint Now, Effects &Out);
+                        TimePoint Now, Effects &Out);
 
 /**
  * Handles the engine's report that it has begun an attempt: tells the entry, or
@@ -66,7 +66,7 @@
  * @param Out Effects are appended.
  */
 void handleEngineStart(AgentState &Agent, const AttemptId &Which,
-                 const Digest &Weights, Effects &Out);
+                       const Digest &Weights, Effects &Out);
 
 /**
  * Forwards a token that the engine produced to the entry, and checks by the gap
@@ -78,7 +78,7 @@
  * @param Out Effects are appended.
  */
 void handleEngineToken(AgentState &Agent, const AttemptId &Which,
-                 const std::string &Token, TimePoint Now, Effects &Out);
+                       const std::string &Token, TimePoint Now, Effects &Out);
 
 /**
  * Handles the end of an attempt at the engine: completes or fails it and starts
@@ -90,7 +90,8 @@
  * @param Out Effects are appended.
  */
 void handleEngineEnd(AgentState &Agent, const AttemptId &Which,
-                 const Outcome<EngineEnd> &End, TimePoint Now, Effects &Out);
+                     const Outcome<EngineEnd> &End, TimePoint Now,
+                     Effects &Out);
 
 /**
  * Handles the plain service's answer to an attempt, or its failure: completes
@@ -102,8 +103,8 @@
  * @param Out Effects are appended.
  */
 void handleServiceAnswer(AgentState &Agent, const AttemptId &Which,
-                     const Outcome<ServiceAnswer> &Answer, TimePoint Now,
-                     Effects &Out);
+                         const Outcome<ServiceAnswer> &Answer, TimePoint Now,
+                         Effects &Out);
 
 /**
  * Handles a periodic report of the engine: updates loaded weights, limits and
@@ -115,7 +116,7 @@
  * @param Out Effects are appended.
  */
 void handleEngineReport(AgentState &Agent, const Outcome<EngineState> &Read,
-                     uint64_t OrdersEnded, TimePoint Now, Effects &Out);
+                        uint64_t OrdersEnded, TimePoint Now, Effects &Out);
 
 /**
  * Handles the result of a health check of the plain service.
@@ -125,7 +126,7 @@
  * @param Out Effects are appended.
  */
 void handleServiceProbe(AgentState &Agent, const Outcome<std::string> &Read,
-                   TimePoint Now, Effects &Out);
+                        TimePoint Now, Effects &Out);
 
 /**
  * Handles the origin's answer to a request for a chunk.
@@ -136,7 +137,7 @@
  * @param Out Effects are appended.
  */
 void handleOriginChunk(AgentState &Agent, const Digest &Chunk,
-                    const DigestedChunk &Came, TimePoint Now, Effects &Out);
+                       const DigestedChunk &Came, TimePoint Now, Effects &Out);
 
 /**
  * Handles the origin's answer to a request for a version's chunk list.
@@ -147,7 +148,8 @@
  * @param Out Effects are appended.
  */
 void handleOriginChunkList(AgentState &Agent, const ChunkRef &Version,
-                   const Outcome<ChunkList> &Read, TimePoint Now, Effects &Out);
+                           const Outcome<ChunkList> &Read, TimePoint Now,
+                           Effects &Out);
 
 /**
  * Handles the result of staging a chunk at the engine, or of looking for one
@@ -159,7 +161,7 @@
  * @param Out Effects are appended.
  */
 void handleStagedChunk(AgentState &Agent, const ChunkRef &Chunk, bool Staged,
-                 TimePoint Now, Effects &Out);
+                       TimePoint Now, Effects &Out);
 
 /**
  * Discards a staged chunk that proved damaged when it was read back, and
@@ -170,7 +172,7 @@
  * @param Out Effects are appended.
  */
 void handleDamagedChunk(AgentState &Agent, const Digest &Chunk, TimePoint Now,
-                 Effects &Out);
+                        Effects &Out);
 
 /**
  * Handles a complete chunk from a peer, or the peer's refusal.
@@ -182,7 +184,7 @@
  * @param Out Effects are appended.
  */
 void handlePeerChunk(AgentState &Agent, LinkId Link, const Digest &Chunk,
-                   const DigestedChunk &Came, TimePoint Now, Effects &Out);
+                     const DigestedChunk &Came, TimePoint Now, Effects &Out);
 
 /**
  * Adds a part of a chunk that a peer sent, and checks the chunk once all its
@@ -194,7 +196,7 @@
  * @param Out Effects are appended.
  */
 void handlePeerChunkPart(AgentState &Agent, LinkId Link, const ChunkData &Data,
-                  TimePoint Now, Effects &Out);
+                         TimePoint Now, Effects &Out);
 
 /**
  * Counts a sent piece of an answer against the byte rate to other failure
@@ -204,7 +206,8 @@
  * @param Bytes Its size.
  * @param Now Current time.
  */
-void countAnswerBytes(AgentState &Agent, LinkId Link, uint64_t Bytes, TimePoint Now);
+void countAnswerBytes(AgentState &Agent, LinkId Link, uint64_t Bytes,
+                      TimePoint Now);
 
 /**
  * Records how many sent bytes a link still holds in its send buffer.
@@ -223,7 +226,7 @@
  * @param Out Effects are appended.
  */
 void handleLoadResult(AgentState &Agent, const std::optional<Failure> &Why,
-               TimePoint Now, Effects &Out);
+                      TimePoint Now, Effects &Out);
 
 /**
  * Writes the current load into the answers among the effects. To be called on
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -28,15 +28,16 @@
 
 /** One attempt at this agent: queued or running. */
 struct Attempt {
-  AttemptStart StartMessage;    ///< Request from the entry.
-  LinkId Link;           ///< Link of the entry that gets the answer.
-  TimePoint ArrivedAt;     ///< When the request arrived.
-  TimePoint Deadline;    ///< After this the answer is of no use.
-  TimePoint StartedAt;   ///< When it was sent to the back end.
-  TimePoint LastTokenAt; ///< When its latest token arrived; zero: none yet.
+  AttemptStart StartMessage; ///< Request from the entry.
+  LinkId Link;               ///< Link of the entry that gets the answer.
+  TimePoint ArrivedAt;       ///< When the request arrived.
+  TimePoint Deadline;        ///< After this the answer is of no use.
+  TimePoint StartedAt;       ///< When it was sent to the back end.
+  TimePoint LastTokenAt;     ///< When its latest token arrived; zero: none yet.
   KnownAttemptState State = KnownAttemptState::Waiting; ///< Waiting or running.
-  Digest Weights;         ///< Weights that produce the answer; empty: none.
-  bool AttemptStartedSent = false; ///< The entry was told that the back end has it.
+  Digest Weights; ///< Weights that produce the answer; empty: none.
+  bool AttemptStartedSent =
+      false; ///< The entry was told that the back end has it.
   std::vector<std::string> Frames; ///< Frames so far, from Asked.ResumeFrom.
   std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
   bool Cancelled = false;              ///< No caller waits for it.
@@ -53,12 +54,12 @@
  * end. It counts against the concurrency limit while it is held.
  */
 struct Slot {
-  LinkId Link;             ///< Link of the entry that asked.
+  LinkId Link;                ///< Link of the entry that asked.
   SlotRequest RequestMessage; ///< The entry's request for this slot.
-  TimePoint RequestedAt;   ///< When it was requested.
-  TimePoint GrantedAt;     ///< When it was granted; until then, when requested.
-  TimePoint WaitUntil;     ///< Time limit for granting it.
-  bool Granted = false;    ///< The request may be at the back end.
+  TimePoint RequestedAt;      ///< When it was requested.
+  TimePoint GrantedAt;  ///< When it was granted; until then, when requested.
+  TimePoint WaitUntil;  ///< Time limit for granting it.
+  bool Granted = false; ///< The request may be at the back end.
   Duration PrefillAtGrant{0}; ///< Time to read all prompts, at the grant.
   std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
 };
@@ -77,7 +78,7 @@
   Settings Config;          ///< Settings of this process.
   ConfigView View;          ///< Published configuration.
   Membership Fleet;         ///< Links to entries and agents.
-  PrefillQueue Prefill;      ///< Prompts sent to the back end and not read yet.
+  PrefillQueue Prefill;     ///< Prompts sent to the back end and not read yet.
   FirstPartTime FirstPart;  ///< Observed time to the first part of an answer.
   Admission Gate;           ///< Concurrency limit, running and queued work.
   ServerRate Rate;          ///< Rate limit that the back end itself announces.
@@ -97,9 +98,9 @@
   std::map<AttemptId, Attempt> Attempts; ///< Queued and running attempts.
   std::map<AttemptId, Slot> SlotsById;   ///< Requested and granted slots.
   std::deque<AttemptId> SpareQueue;      ///< Slots for late requests, in order.
-  TimePoint LastSpareCapacityAt;             ///< When spare capacity was last seen.
+  TimePoint LastSpareCapacityAt;         ///< When spare capacity was last seen.
   EndedAttempts Ended;                   ///< Attempts that ended recently.
-  KeyStore Keys;                          ///< Records of non-repeatable calls.
+  KeyStore Keys;                         ///< Records of non-repeatable calls.
   ModelVersion PendingVersion; ///< Version whose chunk list is missing; may be
                                ///< empty.
   std::optional<ChunkList> UnconfirmedList; ///< Chunk list as first read.
--- a/packages/core/src/attempts/attempt.cpp
+++ b/packages/core/src/attempts/attempt.cpp
@@ -148,7 +148,8 @@
 
 /** Describes an attempt to admission control: workspace, priority, time left.
  */
-AdmissionRequest admissionRequestOf(const AgentState &Agent, const AttemptStart &m) {
+AdmissionRequest admissionRequestOf(const AgentState &Agent,
+                                    const AttemptStart &m) {
   const Document &Doc = *Agent.View.InForce;
   const WorkClass *Class = findClass(Doc, m.Class);
   AdmissionRequest One;
@@ -200,7 +201,8 @@
   One.RanAlone = Agent.Gate.Alone == One.StartMessage.Attempt;
   ++Agent.Counters.Started;
   countBackEndRequest(Agent, Now);
-  const WorkClass *Class = findClass(*Agent.View.InForce, One.StartMessage.Class);
+  const WorkClass *Class =
+      findClass(*Agent.View.InForce, One.StartMessage.Class);
   if (!Agent.Config.EngineUrl.empty()) {
     EngineRequest Request;
     Request.Attempt = One.StartMessage.Attempt;
@@ -236,9 +238,9 @@
   }
   AdmissionRequest Candidate = admissionRequestOf(Agent, m);
   Candidate.Alone = Candidate.Alone || Suspected == Suspicion::RunAlone;
-  const AdmissionResult Answer =
-      requestAdmission(Agent.Gate, Candidate,
-               !isMostlyStalled(Agent, Now) && isWithinRateLimits(Agent, Now));
+  const AdmissionResult Answer = requestAdmission(
+      Agent.Gate, Candidate,
+      !isMostlyStalled(Agent, Now) && isWithinRateLimits(Agent, Now));
   if (Answer.EvictedAttempt)
     refuseEvicted(Agent, *Answer.EvictedAttempt, Out);
   if (Answer.Decision == AdmissionDecision::Refuse)
@@ -319,8 +321,8 @@
   Out.push_back(LogNote{LogPart::Requests, LogLevel::Info,
                         "Request " + it->second.StartMessage.Request.Value +
                             ": attempt " + Which.Value +
-                            " failed: " + errorAnswerFor(Why.Kind).Name + ", ran " +
-                            std::string(ranName(Executed)) + "."});
+                            " failed: " + errorAnswerFor(Why.Kind).Name +
+                            ", ran " + std::string(ranName(Executed)) + "."});
   const AttemptStart Asked = it->second.StartMessage;
   archiveAttempt(Agent, Which, m);
   settleFailedKey(Agent, Asked, Why, Executed, Out);
@@ -354,8 +356,8 @@
     Out.push_back(SendMessage{Link, AttemptStatus{m.Attempt, One.State, Self}});
     if (One.AttemptStartedSent)
       Out.push_back(SendMessage{Link, AttemptStarted{m.Attempt, One.Weights}});
-    resendFrames(Link, m.Attempt, One.StartMessage.ResumeFrom, One.Frames, m.NextFrame,
-                 Out);
+    resendFrames(Link, m.Attempt, One.StartMessage.ResumeFrom, One.Frames,
+                 m.NextFrame, Out);
     return;
   }
   if (const auto it = Agent.Ended.ById.find(m.Attempt);
@@ -406,8 +408,8 @@
 }
 
 void sendFrame(Attempt &One, const std::string &Data, Effects &Out) {
-  Out.push_back(SendMessage{
-      One.Link, AnswerFrame{One.StartMessage.Attempt, nextFrameNumber(One), Data}});
+  Out.push_back(SendMessage{One.Link, AnswerFrame{One.StartMessage.Attempt,
+                                                  nextFrameNumber(One), Data}});
   One.Frames.push_back(Data);
 }
 
@@ -439,8 +441,8 @@
                     Effects &Out) {
   Attempt &One = Agent.Attempts.at(Which);
   if (suspicionOf(Agent, One.StartMessage, Now) == Suspicion::Refuse) {
-    failAttempt(Agent, Which, quarantineFailure(Agent, One.StartMessage, Now), Ran::No,
-                Out);
+    failAttempt(Agent, Which, quarantineFailure(Agent, One.StartMessage, Now),
+                Ran::No, Out);
     return;
   }
   AdmissionRequest Candidate = admissionRequestOf(Agent, One.StartMessage);
--- a/packages/core/src/attempts/back_end_death.cpp
+++ b/packages/core/src/attempts/back_end_death.cpp
@@ -43,7 +43,8 @@
   // A new incarnation does not continue runs of the old one, even if the close
   // of their connections has not been seen yet.
   for (const auto &[Id, One] : Agent.Attempts)
-    if (Replaced && !One.BreakFailure && One.State == KnownAttemptState::Running)
+    if (Replaced && !One.BreakFailure &&
+        One.State == KnownAttemptState::Running)
       All.push_back(Id);
   return All;
 }
@@ -70,8 +71,8 @@
     return;
   // Gives a later death of the same incarnation a new id.
   ++Agent.WithdrawnDeaths;
-  const SuspectNotice Notice{fingerprintOf(One.StartMessage), One.ReportedDeath, 0,
-                             false, true};
+  const SuspectNotice Notice{fingerprintOf(One.StartMessage), One.ReportedDeath,
+                             0, false, true};
   if (applySuspectNotice(Agent.Suspects, Notice, Now))
     broadcastNotice(Agent.Fleet, Notice, {}, Out);
 }
@@ -145,8 +146,8 @@
 void clearSuspicion(AgentState &Agent, const Attempt &One, TimePoint Now,
                     Effects &Out) {
   if (!Agent.Suspects.Suspects.empty())
-    clearSuspect(Agent.Suspects, fingerprintOf(One.StartMessage), Agent.Fleet, Now,
-                 Out);
+    clearSuspect(Agent.Suspects, fingerprintOf(One.StartMessage), Agent.Fleet,
+                 Now, Out);
 }
 
 void handleSuspectNotice(AgentState &Agent, const SuspectNotice &Notice,
--- a/packages/core/src/attempts/backend_type.h
+++ b/packages/core/src/attempts/backend_type.h
@@ -62,7 +62,8 @@
   ModelName Model;            ///< Which model.
   std::string Version;        ///< Which version of it.
   std::vector<Digest> Chunks; ///< Its chunks, in order.
-  bool ForceReload = false; ///< Also load what the engine says it has of this set.
+  bool ForceReload =
+      false; ///< Also load what the engine says it has of this set.
 };
 
 /** One call to a plain service. */
--- a/packages/core/src/attempts/call.cpp
+++ b/packages/core/src/attempts/call.cpp
@@ -139,11 +139,11 @@
 /** Ends a call whose request has made too many back ends fail. */
 void endQuarantinedCall(EntryState &Entry, const Call &ActiveCall,
                         TimePoint Now, Effects &Out) {
-  const Millis Left = refusalTimeLeft(Entry.Suspects,
-                                 fingerprintOf(ActiveCall.Received.Workspace,
-                                               ActiveCall.Received.Class,
-                                               ActiveCall.Received.Body),
-                                 Now);
+  const Millis Left = refusalTimeLeft(
+      Entry.Suspects,
+      fingerprintOf(ActiveCall.Received.Workspace, ActiveCall.Received.Class,
+                    ActiveCall.Received.Body),
+      Now);
   // Earlier attempts did run, though none to completion.
   endCallWithError(Entry, ActiveCall.Received.Call,
                    {ErrorKind::Quarantined, "it made back ends fail", Left},
@@ -292,13 +292,14 @@
     Error.Token = makeHomeToken(Entry, ActiveCall.Received.Class);
   // These errors concern this entry only: the caller may try another one.
   if (Final.Kind == ErrorKind::Leaving || Final.Kind == ErrorKind::StaleView)
-    Error.AlternativeEntries = entryAddressesFor(Entry, ActiveCall.Received.Caller);
+    Error.AlternativeEntries =
+        entryAddressesFor(Entry, ActiveCall.Received.Caller);
   Out.push_back(std::move(Error));
   Entry.Calls.erase(it);
 }
 
 void handleAttemptStarted(EntryState &Entry, const AttemptStarted &m,
-                        Effects &Out) {
+                          Effects &Out) {
   Call *ActiveCall = findCall(Entry, m.Attempt);
   if (ActiveCall == nullptr) {
     ++Entry.Counters.DroppedFrames;
--- a/packages/core/src/attempts/call_func.h
+++ b/packages/core/src/attempts/call_func.h
@@ -37,7 +37,8 @@
  * @param m The message.
  * @param Out Effect list to append to.
  */
-void handleAttemptStarted(EntryState &Entry, const AttemptStarted &m, Effects &Out);
+void handleAttemptStarted(EntryState &Entry, const AttemptStarted &m,
+                          Effects &Out);
 
 /**
  * Passes a part of an answer on to the caller. Drops frames that are late,
--- a/packages/core/src/attempts/chunk_list.cpp
+++ b/packages/core/src/attempts/chunk_list.cpp
@@ -32,7 +32,7 @@
                               " loaded=" + Agent.Weights.Loaded.Value});
   setWantedWeights(Agent.Weights, Wanted);
   updateTransferPlan(Agent.Transfer, Agent.Weights, *Agent.View.InForce,
-               Agent.Fleet.Self.Name, Now);
+                     Agent.Fleet.Self.Name, Now);
   // After a restart of the agent beside a loaded engine, the staged chunks need
   // not be fetched, and peers can fetch them from here.
   if (IsNew && !Agent.Config.EngineUrl.empty() && !Wanted.Origin.Value.empty())
@@ -43,7 +43,7 @@
 void sendListToPeers(const AgentState &Agent, Effects &Out) {
   const ModelVersion &Wanted = Agent.Weights.Wanted;
   const ChunkListNotice Told{Wanted.Name, Wanted.Version, Wanted.ChunkBytes,
-                           Wanted.Chunks};
+                             Wanted.Chunks};
   for (const auto &[Link, Peer] : Agent.Transfer.Peers)
     if (Peer.SameDomain && Peer.Announced.Set != Wanted.Set)
       Out.push_back(SendMessage{Link, Told});
@@ -140,8 +140,9 @@
   return true;
 }
 
-bool handleListNotice(AgentState &Agent, LinkId Link, const ChunkListNotice &Told,
-                      TimePoint Now, Effects &Out) {
+bool handleListNotice(AgentState &Agent, LinkId Link,
+                      const ChunkListNotice &Told, TimePoint Now,
+                      Effects &Out) {
   // Links have checksums, and the list was read twice by the sender or by the
   // one that sent it there.
   if (!Agent.Transfer.Peers.contains(Link) || Told.Chunks.empty())
--- a/packages/core/src/attempts/chunk_list_func.h
+++ b/packages/core/src/attempts/chunk_list_func.h
@@ -58,8 +58,8 @@
  * @param Out Effects are appended.
  * @return True when the list was accepted and its version selected for loading.
  */
-bool handleListNotice(AgentState &Agent, LinkId Link, const ChunkListNotice &Told,
-                      TimePoint Now, Effects &Out);
+bool handleListNotice(AgentState &Agent, LinkId Link,
+                      const ChunkListNotice &Told, TimePoint Now, Effects &Out);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/attempts/entry.cpp
+++ b/packages/core/src/attempts/entry.cpp
@@ -194,12 +194,12 @@
 }
 
 void handleEntryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
-                     Effects &Out) {
+                           Effects &Out) {
   handleLinkOpened(Entry.Fleet, Link, Now, Out);
 }
 
 void handleEntryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
-                     Effects &Out) {
+                           Effects &Out) {
   const std::optional<HostName> Refused = peerOfOpeningLink(Entry.Fleet, Link);
   logLinkLost(Entry.Fleet, Link, Now, Out);
   handleLinkClosed(Entry.Fleet, Link, Now);
@@ -209,7 +209,7 @@
 }
 
 void handleEntryMessage(EntryState &Entry, LinkId Link, const Message &m,
-                  TimePoint Now, Effects &Out) {
+                        TimePoint Now, Effects &Out) {
   handlePause(Entry, Now, Out);
   if (!recordLinkActivity(Entry.Fleet, Link, Now))
     return;
@@ -239,7 +239,8 @@
                         },
                         [&](const SuspectNotice &Notice) {
                           if (applySuspectNotice(Entry.Suspects, Notice, Now))
-                            broadcastNotice(Entry.Fleet, Notice, Role::Entry, Out);
+                            broadcastNotice(Entry.Fleet, Notice, Role::Entry,
+                                            Out);
                         },
                         [&](const AttemptStatus &Status) {
                           handleAttemptStatus(Entry, Status, Now, Out);
@@ -251,7 +252,7 @@
 }
 
 void handleEntryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
-                     TimePoint Began, TimePoint Now, Effects &Out) {
+                           TimePoint Began, TimePoint Now, Effects &Out) {
   handlePause(Entry, Now, Out);
   logConfigServiceChange(Entry, Read, Now, Out);
   if (!Read.Value || Read.Value->empty()) {
@@ -261,14 +262,15 @@
   const OfferResult Offer =
       applyDocument(Entry.View, Entry.Fleet, *Read.Value, Now, Out);
   recordReadResult(Entry.Fleet, true,
-            Offer == OfferResult::Accepted || Offer == OfferResult::Same, Began,
-            Now);
+                   Offer == OfferResult::Accepted || Offer == OfferResult::Same,
+                   Began, Now);
   if (Offer == OfferResult::Accepted)
     updateWantedPeers(Entry, Now, Out);
 }
 
-void handleEntryHostList(EntryState &Entry, const std::vector<HostName> &Leaving,
-                    TimePoint Now, Effects &Out) {
+void handleEntryHostList(EntryState &Entry,
+                         const std::vector<HostName> &Leaving, TimePoint Now,
+                         Effects &Out) {
   handlePause(Entry, Now, Out);
   handleHostList(Entry.Fleet, Leaving, Now, Out);
 }
@@ -290,7 +292,7 @@
 }
 
 void beginEntryShutdown(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
-               Effects &Out) {
+                        Effects &Out) {
   Entry.Stopping = true;
   Entry.HomeQueriesUntil = Now + HomeQueryTime;
   Entry.Fleet.Leaving = true;
--- a/packages/core/src/attempts/entry_func.h
+++ b/packages/core/src/attempts/entry_func.h
@@ -49,7 +49,7 @@
  * @param Out Effect list to append to.
  */
 void handleEntryLinkOpened(EntryState &Entry, LinkId Link, TimePoint Now,
-                     Effects &Out);
+                           Effects &Out);
 
 /**
  * Handles a link that has closed: marks its attempts as lost. When it could not
@@ -60,7 +60,7 @@
  * @param Out Effect list to append to.
  */
 void handleEntryLinkClosed(EntryState &Entry, LinkId Link, TimePoint Now,
-                     Effects &Out);
+                           Effects &Out);
 
 /**
  * Handles a message from a peer.
@@ -71,7 +71,7 @@
  * @param Out Effect list to append to.
  */
 void handleEntryMessage(EntryState &Entry, LinkId Link, const Message &m,
-                  TimePoint Now, Effects &Out);
+                        TimePoint Now, Effects &Out);
 
 /**
  * Handles a finished read of the configuration service: applies the document,
@@ -83,7 +83,7 @@
  * @param Out Effect list to append to.
  */
 void handleEntryConfigRead(EntryState &Entry, const Outcome<std::string> &Read,
-                     TimePoint Began, TimePoint Now, Effects &Out);
+                           TimePoint Began, TimePoint Now, Effects &Out);
 
 /**
  * Handles a new host list from the platform.
@@ -92,8 +92,9 @@
  * @param Now Current time.
  * @param Out Effect list to append to.
  */
-void handleEntryHostList(EntryState &Entry, const std::vector<HostName> &Leaving,
-                    TimePoint Now, Effects &Out);
+void handleEntryHostList(EntryState &Entry,
+                         const std::vector<HostName> &Leaving, TimePoint Now,
+                         Effects &Out);
 
 /**
  * Runs the periodic work: heartbeats, links that time out, deadlines of calls,
@@ -113,7 +114,7 @@
  * @param Out Effect list to append to.
  */
 void beginEntryShutdown(EntryState &Entry, TimePoint Now, Millis HomeQueryTime,
-               Effects &Out);
+                        Effects &Out);
 
 /**
  * Ends all open calls with an error when the time limit of a graceful shutdown
--- a/packages/core/src/attempts/entry_type.h
+++ b/packages/core/src/attempts/entry_type.h
@@ -19,26 +19,26 @@
 
 /** A request as received from a caller. */
 struct CallRequest {
-  CallId Call;        ///< Assigned by the traffic thread.
-  RequestId Request;  ///< Request id, for logs and answers.
-  ClassName Class;    ///< Class of work.
-  WorkspaceName Workspace;  ///< Workspace of the caller.
-  IdempotencyKey Key; ///< Empty when none was sent.
-  std::string Token;  ///< Home token; empty when none was sent.
-  std::string Caller; ///< Caller id, to spread callers over entries.
-  std::string Body;   ///< As sent by the caller.
-  Millis Deadline{0}; ///< 0 for the deadline of the class.
+  CallId Call;             ///< Assigned by the traffic thread.
+  RequestId Request;       ///< Request id, for logs and answers.
+  ClassName Class;         ///< Class of work.
+  WorkspaceName Workspace; ///< Workspace of the caller.
+  IdempotencyKey Key;      ///< Empty when none was sent.
+  std::string Token;       ///< Home token; empty when none was sent.
+  std::string Caller;      ///< Caller id, to spread callers over entries.
+  std::string Body;        ///< As sent by the caller.
+  Millis Deadline{0};      ///< 0 for the deadline of the class.
 };
 
 /** The open attempt of a call. */
 struct OpenAttempt {
-  AttemptId Id;       ///< Never used again; empty when no attempt is open.
-  HostName Worker;    ///< Worker that it was sent to.
-  LinkId Link;        ///< Link that it was sent over; none while lost.
-  Incarnation Run;    ///< Incarnation of the agent it was sent to.
+  AttemptId Id;         ///< Never used again; empty when no attempt is open.
+  HostName Worker;      ///< Worker that it was sent to.
+  LinkId Link;          ///< Link that it was sent over; none while lost.
+  Incarnation Run;      ///< Incarnation of the agent it was sent to.
   bool Started = false; ///< Started by the back end.
   std::optional<TimePoint> LinkLostAt; ///< Set while its link is lost.
-  uint64_t FirstFrame = 0;            ///< Sequence of its first frame.
+  uint64_t FirstFrame = 0;             ///< Sequence of its first frame.
   size_t TextOffset = 0; ///< Start of its first frame in Call::Text.
 };
 
--- a/packages/core/src/attempts/idempotency.cpp
+++ b/packages/core/src/attempts/idempotency.cpp
@@ -50,7 +50,7 @@
 
 /** Decides about a key without a record by its token. */
 KeyDecision decideByToken(const KeyStore &Store, const HostName &Self,
-                         const KeyedRequest &Request) {
+                          const KeyedRequest &Request) {
   const auto Read = outcomeOf([&] { return readToken(Request.Token); });
   if (!Read.Value)
     return {KeyChoice::Unknown, Millis{0}, "unreadable token"};
@@ -59,7 +59,8 @@
     return {KeyChoice::Unknown, Millis{0}, "another home by token"};
   // The records that the token refers to are gone, so nobody knows whether the
   // key ran. No other process may run it with this token either.
-  if (!Store.KnownIncarnations.contains(Home.Run) || Home.Epoch + KeptEpochs <= Store.Epoch)
+  if (!Store.KnownIncarnations.contains(Home.Run) ||
+      Home.Epoch + KeptEpochs <= Store.Epoch)
     return {KeyChoice::Unknown, Millis{0}, "the home of the token is gone"};
   return {KeyChoice::Run, Millis{0}, ""};
 }
@@ -71,8 +72,8 @@
  * calls from that time.
  */
 KeyDecision decideByDocuments(const KeyStore &Store, const Document &Doc,
-                             const HostName &Self, const KeyedRequest &Request,
-                             TimePoint Now) {
+                              const HostName &Self, const KeyedRequest &Request,
+                              TimePoint Now) {
   const Millis Horizon = keyRetryHorizon(Doc, Request.Key);
   if (homeFromDocument(Doc, Request.Key) != Self)
     return {KeyChoice::Warming, Millis{0}, "another home by list"};
@@ -91,22 +92,22 @@
  * another token.
  */
 std::optional<KeyDecision> decideRefusedKey(const KeyRecord &Record,
-                                           const KeyedRequest &Request,
-                                           TimePoint Now) {
+                                            const KeyedRequest &Request,
+                                            TimePoint Now) {
   if (Record.Token != Request.Token)
     return std::nullopt;
   // The caller was told "not run" and may have run it elsewhere since.
   if (!Request.Token.empty())
     return KeyDecision{KeyChoice::Refuse, Millis{0}, "refused before"};
   return KeyDecision{KeyChoice::Refuse,
-                    std::max(Millis{1}, toMillis(Record.ExpiresAt - Now)),
-                    "refused a moment ago"};
+                     std::max(Millis{1}, toMillis(Record.ExpiresAt - Now)),
+                     "refused a moment ago"};
 }
 
 /** Decides about a key by its record; nothing when it counts as a new key. */
 std::optional<KeyDecision> decideByRecord(const KeyRecord &Record,
-                                         const KeyedRequest &Request,
-                                         TimePoint Now) {
+                                          const KeyedRequest &Request,
+                                          TimePoint Now) {
   if (Record.State == KeyState::Refused)
     return decideRefusedKey(Record, Request, Now);
   if (Record.Body != Request.Body)
@@ -131,22 +132,23 @@
 }
 
 KeyDecision decideKeyedCall(const KeyStore &Store, const Document &Doc,
-                    const HostName &Self, const KeyedRequest &Request,
-                    TimePoint Now) {
+                            const HostName &Self, const KeyedRequest &Request,
+                            TimePoint Now) {
   const auto it = Store.Records.find(Request.Key);
   if (it != Store.Records.end())
     if (const auto Verdict = decideByRecord(it->second, Request, Now))
       return *Verdict;
   KeyDecision Verdict = Request.Token.empty()
-                           ? decideByDocuments(Store, Doc, Self, Request, Now)
-                           : decideByToken(Store, Self, Request);
+                            ? decideByDocuments(Store, Doc, Self, Request, Now)
+                            : decideByToken(Store, Self, Request);
   if (Verdict.Choice == KeyChoice::Run && Store.Records.size() >= MaxKeyRecords)
     Verdict = {KeyChoice::Warming, RefusedKeyHold, "too many keys"};
   return Verdict;
 }
 
-KeyRecord &addKeyRecord(KeyStore &Store, const Document &Doc, const KeyedRequest &Request,
-                   const AttemptId &First, TimePoint Now) {
+KeyRecord &addKeyRecord(KeyStore &Store, const Document &Doc,
+                        const KeyedRequest &Request, const AttemptId &First,
+                        TimePoint Now) {
   eraseRecord(Store, Request.Key);
   KeyRecord &Record = Store.Records[Request.Key];
   Record.Body = Request.Body;
@@ -161,7 +163,7 @@
 }
 
 std::vector<AttemptId> completeKey(KeyStore &Store, const KeyName &Key,
-                                const std::optional<ServiceAnswer> &Answer) {
+                                   const std::optional<ServiceAnswer> &Answer) {
   const auto it = Store.Records.find(Key);
   if (it == Store.Records.end())
     return {};
@@ -198,7 +200,8 @@
   return Waiters;
 }
 
-void recordPastDocument(KeyStore &Store, const DocumentPtr &Before, TimePoint Now) {
+void recordPastDocument(KeyStore &Store, const DocumentPtr &Before,
+                        TimePoint Now) {
   if (!Before) {
     // No document was in force, so nothing has run here yet.
     Store.Started = Now;
@@ -220,8 +223,10 @@
 void expireKeys(KeyStore &Store, Incarnation Run, TimePoint Now) {
   Store.KnownIncarnations.insert(Run);
   if (Store.KnownIncarnations.size() > MaxIncarnations)
-    Store.KnownIncarnations.erase(*Store.KnownIncarnations.begin() == Run ? std::next(Store.KnownIncarnations.begin())
-                                                : Store.KnownIncarnations.begin());
+    Store.KnownIncarnations.erase(
+        *Store.KnownIncarnations.begin() == Run
+            ? std::next(Store.KnownIncarnations.begin())
+            : Store.KnownIncarnations.begin());
   // Records expire at their time even if the process was paused for epochs, so
   // the tokens of the missed epochs must become invalid too.
   const auto PassedEpochs = (Now - Store.EpochStart) / Duration(KeyEpochLength);
--- a/packages/core/src/attempts/idempotency_func.h
+++ b/packages/core/src/attempts/idempotency_func.h
@@ -48,8 +48,8 @@
  * @return What to do with the call.
  */
 KeyDecision decideKeyedCall(const KeyStore &Store, const Document &Doc,
-                    const HostName &Self, const KeyedRequest &Request,
-                    TimePoint Now);
+                            const HostName &Self, const KeyedRequest &Request,
+                            TimePoint Now);
 
 /**
  * Adds the record of a keyed call that is about to be queued or run; replaces
@@ -61,8 +61,9 @@
  * @param Now Current time.
  * @return The record.
  */
-KeyRecord &addKeyRecord(KeyStore &Store, const Document &Doc, const KeyedRequest &Request,
-                   const AttemptId &First, TimePoint Now);
+KeyRecord &addKeyRecord(KeyStore &Store, const Document &Doc,
+                        const KeyedRequest &Request, const AttemptId &First,
+                        TimePoint Now);
 
 /**
  * Marks a key as done and stores its answer. Drops the oldest answers above
@@ -74,7 +75,7 @@
  * @return Attempts that wait for the outcome.
  */
 std::vector<AttemptId> completeKey(KeyStore &Store, const KeyName &Key,
-                                const std::optional<ServiceAnswer> &Answer);
+                                   const std::optional<ServiceAnswer> &Answer);
 
 /**
  * Marks a key as refused: it did not run, and never will with its token.
@@ -92,7 +93,8 @@
  * @param Before The replaced document; may be null.
  * @param Now Current time.
  */
-void recordPastDocument(KeyStore &Store, const DocumentPtr &Before, TimePoint Now);
+void recordPastDocument(KeyStore &Store, const DocumentPtr &Before,
+                        TimePoint Now);
 
 /**
  * Removes expired records and documents, and begins a new epoch when it is due.
--- a/packages/core/src/attempts/idempotency_type.h
+++ b/packages/core/src/attempts/idempotency_type.h
@@ -37,9 +37,9 @@
   Digest Body;                         ///< Digest of the request body.
   KeyState State = KeyState::Waiting;  ///< State of the key.
   std::optional<ServiceAnswer> Answer; ///< Set when Done and still kept.
-  std::string Token;                ///< Home token of the call; empty for none.
-  TimePoint ExpiresAt;              ///< When the record is removed.
-  AttemptId FirstAttempt;                  ///< The attempt that runs the call.
+  std::string Token;      ///< Home token of the call; empty for none.
+  TimePoint ExpiresAt;    ///< When the record is removed.
+  AttemptId FirstAttempt; ///< The attempt that runs the call.
   std::vector<AttemptId> RepeatAttempts; ///< Repeats that get the same answer.
 };
 
@@ -54,10 +54,11 @@
   std::map<KeyName, KeyRecord> Records;               ///< By key.
   std::set<std::pair<TimePoint, KeyName>> ByExpiry;   ///< In order of expiry.
   std::set<std::pair<TimePoint, KeyName>> WithAnswer; ///< Those with Answer.
-  size_t AnswerBytes = 0;     ///< Total size of the answers.
-  uint64_t Epoch = 1;         ///< Epoch that new tokens name.
-  TimePoint EpochStart;       ///< When the epoch began.
-  std::set<Incarnation> KnownIncarnations; ///< Incarnations that made these records.
+  size_t AnswerBytes = 0; ///< Total size of the answers.
+  uint64_t Epoch = 1;     ///< Epoch that new tokens name.
+  TimePoint EpochStart;   ///< When the epoch began.
+  std::set<Incarnation>
+      KnownIncarnations; ///< Incarnations that made these records.
   TimePoint Started; ///< Calls from before this time may have run unrecorded.
   std::deque<PastDocument> PastDocuments; ///< Recent documents, oldest first.
 };
--- a/packages/core/src/attempts/keyed_attempt.cpp
+++ b/packages/core/src/attempts/keyed_attempt.cpp
@@ -14,7 +14,9 @@
 namespace {
 
 /** Gives the full name of an attempt's idempotency key. */
-KeyName keyNameOf(const AttemptStart &m) { return {m.Class, m.Workspace, m.Key}; }
+KeyName keyNameOf(const AttemptStart &m) {
+  return {m.Class, m.Workspace, m.Key};
+}
 
 /** Describes a keyed call: key, home token and digest of the body. */
 KeyedRequest keyedRequestOf(const AttemptStart &m) {
@@ -26,7 +28,8 @@
   if (Asked.Key.Value.empty())
     return nullptr;
   const auto it = Agent.Keys.Records.find(keyNameOf(Asked));
-  if (it == Agent.Keys.Records.end() || it->second.FirstAttempt != Asked.Attempt)
+  if (it == Agent.Keys.Records.end() ||
+      it->second.FirstAttempt != Asked.Attempt)
     return nullptr;
   return &it->second;
 }
@@ -106,8 +109,9 @@
   const AttemptStart &Asked = One.StartMessage;
   KeyDecision Verdict{KeyChoice::Warming, Millis{0}, "no configuration yet"};
   if (Agent.View.InForce)
-    Verdict = decideKeyedCall(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
-                       keyedRequestOf(Asked), Now);
+    Verdict =
+        decideKeyedCall(Agent.Keys, *Agent.View.InForce, Agent.Fleet.Self.Name,
+                        keyedRequestOf(Asked), Now);
   if (Verdict.Choice == KeyChoice::Run && !Refusal)
     return false;
   Agent.Attempts[Asked.Attempt] = One;
@@ -119,8 +123,8 @@
 }
 
 void recordKeyOf(AgentState &Agent, const AttemptStart &Asked, TimePoint Now) {
-  addKeyRecord(Agent.Keys, *Agent.View.InForce, keyedRequestOf(Asked), Asked.Attempt,
-          Now);
+  addKeyRecord(Agent.Keys, *Agent.View.InForce, keyedRequestOf(Asked),
+               Asked.Attempt, Now);
 }
 
 void markKeyRunning(AgentState &Agent, const AttemptStart &Asked) {
--- a/packages/core/src/attempts/place.cpp
+++ b/packages/core/src/attempts/place.cpp
@@ -45,13 +45,13 @@
 
 /** Answers a request for a slot and logs the values that decided the answer.
  * @param Refusal Null when the slot is granted. */
-void sendSlotAnswer(const AgentState &Agent, LinkId Link, const SlotRequest &Asked,
-                    const Failure *Refusal, Duration Waited, TimePoint Now,
-                    Effects &Out) {
+void sendSlotAnswer(const AgentState &Agent, LinkId Link,
+                    const SlotRequest &Asked, const Failure *Refusal,
+                    Duration Waited, TimePoint Now, Effects &Out) {
   SlotAnswer m;
   m.SlotId = Asked.SlotId;
-  m.PrefillBacklogMillis =
-      static_cast<uint32_t>(toMillis(prefillTimeLeft(Agent.Prefill, Now)).count());
+  m.PrefillBacklogMillis = static_cast<uint32_t>(
+      toMillis(prefillTimeLeft(Agent.Prefill, Now)).count());
   m.Granted = Refusal == nullptr;
   if (Refusal != nullptr) {
     m.Why = Refusal->Kind;
@@ -161,7 +161,8 @@
   grantSpareSlots(Agent, Now, Out);
   // In a lasting overload there is no spare capacity at all. A queued request
   // would only be refused later.
-  const bool IsLasting = Now - Agent.LastSpareCapacityAt > toDuration(m.WaitMillis);
+  const bool IsLasting =
+      Now - Agent.LastSpareCapacityAt > toDuration(m.WaitMillis);
   if (IsLasting || Agent.SpareQueue.size() >= MaxSpareWaiting) {
     refuseRequest(Agent, Link, m, ErrorKind::Overloaded,
                   estimateRetryAfter(Agent.Gate), Now, Out);
@@ -176,13 +177,13 @@
  * one. */
 bool isTooBusy(const AgentState &Agent, const SlotRequest &m, TimePoint Now) {
   return m.MaxPrefillBacklogMillis > 0 &&
-         (!canRunNow(Agent.Gate) ||
-          prefillTimeLeft(Agent.Prefill, Now) > Millis(m.MaxPrefillBacklogMillis));
+         (!canRunNow(Agent.Gate) || prefillTimeLeft(Agent.Prefill, Now) >
+                                        Millis(m.MaxPrefillBacklogMillis));
 }
 
 /** Describes a slot to admission control: workspace, priority, time left. */
-AdmissionRequest admissionRequestOf(const AgentState &Agent, const SlotRequest &m,
-                            Duration MayWait) {
+AdmissionRequest admissionRequestOf(const AgentState &Agent,
+                                    const SlotRequest &m, Duration MayWait) {
   AdmissionRequest One;
   One.Who = {m.SlotId, m.Workspace, 1,
              RankZeroPriority - std::min(m.Rank, RankZeroPriority)};
@@ -222,13 +223,14 @@
   const Duration MayWait = maxUsefulWait(Agent, m);
   const AdmissionResult AdmissionDecision =
       requestAdmission(Agent.Gate, admissionRequestOf(Agent, m, MayWait),
-               maySendPrompt(Agent.Prefill, Now));
+                       maySendPrompt(Agent.Prefill, Now));
   if (AdmissionDecision.EvictedAttempt)
     refuseSlot(Agent, *AdmissionDecision.EvictedAttempt,
-               {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)}, Out);
+               {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)},
+               Out);
   if (AdmissionDecision.Decision == AdmissionDecision::Refuse) {
-    refuseRequest(Agent, Link, m, ErrorKind::Overloaded, AdmissionDecision.RetryAfter,
-                  Now, Out);
+    refuseRequest(Agent, Link, m, ErrorKind::Overloaded,
+                  AdmissionDecision.RetryAfter, Now, Out);
     return;
   }
   addSlot(Agent, Link, m, MayWait, Now);
@@ -244,7 +246,8 @@
     Agent.SpareQueue.pop_front();
     AdmissionRequest One;
     One.Who.Attempt = Which;
-    requestAdmission(Agent.Gate, One); // Always admitted: there is spare capacity.
+    requestAdmission(Agent.Gate,
+                     One); // Always admitted: there is spare capacity.
     grantSlot(Agent, Which, Now, Out);
   }
 }
@@ -301,15 +304,16 @@
   }
   if (m.FirstPartMillis > 0)
     recordFirstPart(Agent.FirstPart, toDuration(m.FirstPartMillis),
-                  One.PrefillAtGrant);
+                    One.PrefillAtGrant);
   if (!m.Sent) {
     refundRequest(Agent.Rate);
     if (Now < Agent.ColdUntil)
       refundRequest(Agent.ColdStartRate);
   }
   const RunEnd Incomplete = m.Sent ? RunEnd::Abandoned : RunEnd::NotStarted;
-  recordRunEnd(Agent.Gate, m.SlotId, m.IsComplete ? RunEnd::Complete : Incomplete,
-           Now - One.GrantedAt);
+  recordRunEnd(Agent.Gate, m.SlotId,
+               m.IsComplete ? RunEnd::Complete : Incomplete,
+               Now - One.GrantedAt);
   Agent.Counters.Completed += m.IsComplete ? 1 : 0;
   startWaitingWork(Agent, Now, Out);
   grantSpareSlots(Agent, Now, Out);
@@ -327,12 +331,13 @@
     countRequest(Agent.ColdStartRate);
 }
 
-void handleRateNotice(AgentState &Agent, const RateLimitNotice &m, TimePoint Now,
-                      Effects &Out) {
+void handleRateNotice(AgentState &Agent, const RateLimitNotice &m,
+                      TimePoint Now, Effects &Out) {
   if (m.PerSecond) {
     const TimePoint AnswerArrivedAt = Now - toDuration(m.AgeMillis);
-    logRateChange(Agent, recordRateLimit(Agent.Rate, *m.PerSecond, AnswerArrivedAt), "entry",
-                  Out);
+    logRateChange(Agent,
+                  recordRateLimit(Agent.Rate, *m.PerSecond, AnswerArrivedAt),
+                  "entry", Out);
     return;
   }
   const auto it = Agent.SlotsById.find(m.SlotId);
@@ -382,7 +387,8 @@
   for (const AttemptId &Which : Late) {
     dequeueSlot(Agent, Which);
     refuseSlot(Agent, Which,
-               {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)}, Out);
+               {ErrorKind::Overloaded, "", estimateRetryAfter(Agent.Gate)},
+               Out);
   }
 }
 
--- a/packages/core/src/attempts/place_func.h
+++ b/packages/core/src/attempts/place_func.h
@@ -64,8 +64,8 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handleRateNotice(AgentState &Agent, const RateLimitNotice &m, TimePoint Now,
-                      Effects &Out);
+void handleRateNotice(AgentState &Agent, const RateLimitNotice &m,
+                      TimePoint Now, Effects &Out);
 
 /**
  * Logs a change of the back end's rate limit, if there is one.
--- a/packages/core/src/base/effect_type.h
+++ b/packages/core/src/base/effect_type.h
@@ -60,7 +60,8 @@
   Failure Why;                 ///< Error kind, detail and retry delay.
   Ran Executed = Ran::Unknown; ///< Whether the request was executed.
   std::string Token; ///< New home token for the next attempt; may be empty.
-  std::vector<Address> AlternativeEntries; ///< Entries to use instead; may be empty.
+  std::vector<Address>
+      AlternativeEntries; ///< Entries to use instead; may be empty.
 };
 
 /** Sends an attempt to the model engine. */
--- a/packages/core/src/base/error_type.h
+++ b/packages/core/src/base/error_type.h
@@ -19,7 +19,7 @@
   Forbidden,       ///< Token belongs to another team.
   NotFound,        ///< No such path or class.
   Overloaded,      ///< Queue is full or a limit is reached.
-  WorkspaceLimit,     ///< The workspace has used up its share.
+  WorkspaceLimit,  ///< The workspace has used up its share.
   RateLimited,     ///< The back end has reached its rate limit.
   NoWorker,        ///< No worker can currently take the request.
   ColdStart,       ///< The back end is still warming up.
--- a/packages/core/src/base/ids_type.h
+++ b/packages/core/src/base/ids_type.h
@@ -23,10 +23,11 @@
   bool operator==(const NumberId &) const = default;
 };
 
-using HostName = TextId<struct HostNameTag>;       ///< Entry or worker.
-using DomainName = TextId<struct DomainNameTag>;   ///< Failure domain.
-using ClassName = TextId<struct ClassNameTag>;     ///< Class of requests.
-using WorkspaceName = TextId<struct WorkspaceNameTag>;   ///< Customer's workspace.
+using HostName = TextId<struct HostNameTag>;     ///< Entry or worker.
+using DomainName = TextId<struct DomainNameTag>; ///< Failure domain.
+using ClassName = TextId<struct ClassNameTag>;   ///< Class of requests.
+using WorkspaceName =
+    TextId<struct WorkspaceNameTag>;               ///< Customer's workspace.
 using ModelName = TextId<struct ModelNameTag>;     ///< Model, without version.
 using ServiceName = TextId<struct ServiceNameTag>; ///< Plain service.
 using RegionName = TextId<struct RegionNameTag>;   ///< Nearby domains.
--- a/packages/core/src/base/json_reader.cpp
+++ b/packages/core/src/base/json_reader.cpp
@@ -83,7 +83,7 @@
 } // namespace
 
 void ValidationErrors::add(const std::string &Path, const std::string &Found,
-                    const std::string &Allowed) {
+                           const std::string &Allowed) {
   Lines.push_back(Path + ": found " + Found + ", allowed: " + Allowed);
 }
 
@@ -142,7 +142,7 @@
 }
 
 void ObjectReader::addError(const char *Key, const std::string &Found,
-                         const std::string &Allowed) {
+                            const std::string &Allowed) {
   Errors->add(memberPath(Key), Found, Allowed);
 }
 
@@ -160,7 +160,7 @@
 }
 
 std::string ObjectReader::readText(const char *Key, bool Required,
-                               const std::string &Default) {
+                                   const std::string &Default) {
   const Json *Value = lookUpMember(Key, Required, "a text");
   if (Value == nullptr)
     return Default;
@@ -169,9 +169,9 @@
       isSafeText(Value->get_ref<const std::string &>()))
     return Value->get<std::string>();
   addError(Key, excerpt(*Value),
-        std::string(Required ? "a text that is not empty" : "a text") +
-            ", of at most " + std::to_string(MaxTextBytes) +
-            " bytes without control characters");
+           std::string(Required ? "a text that is not empty" : "a text") +
+               ", of at most " + std::to_string(MaxTextBytes) +
+               " bytes without control characters");
   return Default;
 }
 
@@ -193,8 +193,8 @@
   return Text;
 }
 
-int64_t ObjectReader::readInteger(const char *Key, bool Required, int64_t Default,
-                             int64_t Min, int64_t Max) {
+int64_t ObjectReader::readInteger(const char *Key, bool Required,
+                                  int64_t Default, int64_t Min, int64_t Max) {
   const std::string Allowed = "a whole number from " + std::to_string(Min) +
                               " to " + std::to_string(Max);
   const Json *Value = lookUpMember(Key, Required, Allowed.c_str());
@@ -211,7 +211,7 @@
 }
 
 double ObjectReader::readNumber(const char *Key, double Default, double Min,
-                          double Max) {
+                                double Max) {
   const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
     return Default;
@@ -219,7 +219,8 @@
       Value->get<double>() <= Max)
     return Value->get<double>();
   addError(Key, excerpt(*Value),
-        "a number from " + std::to_string(Min) + " to " + std::to_string(Max));
+           "a number from " + std::to_string(Min) + " to " +
+               std::to_string(Max));
   return Default;
 }
 
@@ -241,7 +242,8 @@
   return Object != nullptr && Object->contains(Key);
 }
 
-std::vector<const Json *> ObjectReader::listElements(const char *Key, size_t Max) {
+std::vector<const Json *> ObjectReader::listElements(const char *Key,
+                                                     size_t Max) {
   std::vector<const Json *> Elements;
   const Json *Value = lookUpMember(Key, false, "");
   if (Value == nullptr)
@@ -252,7 +254,7 @@
   }
   if (Value->size() > Max) {
     addError(Key, std::to_string(Value->size()) + " elements",
-          "at most " + std::to_string(Max));
+             "at most " + std::to_string(Max));
     return Elements;
   }
   Elements.reserve(Value->size());
@@ -281,7 +283,7 @@
       continue;
     const std::string Near = nearestName(Member.key(), Known);
     addError(Member.key().c_str(), "an unknown key",
-          Near.empty() ? "no such key" : "did you mean \"" + Near + "\"?");
+             Near.empty() ? "no such key" : "did you mean \"" + Near + "\"?");
   }
 }
 
--- a/packages/core/src/base/json_reader.h
+++ b/packages/core/src/base/json_reader.h
@@ -85,7 +85,7 @@
    * @return The text.
    */
   std::string readText(const char *Key, bool Required,
-                   const std::string &Default = "");
+                       const std::string &Default = "");
 
   /**
    * Reads a SHA-256 digest. Errors never quote the value, since it may be a
@@ -111,8 +111,8 @@
    * @param Max Largest value allowed.
    * @return The number.
    */
-  int64_t readInteger(const char *Key, bool Required, int64_t Default, int64_t Min,
-                 int64_t Max);
+  int64_t readInteger(const char *Key, bool Required, int64_t Default,
+                      int64_t Min, int64_t Max);
 
   /**
    * Reads a floating-point number.
@@ -146,7 +146,7 @@
    * @return The elements, pointers into the JSON value.
    */
   std::vector<const nlohmann::json *> listElements(const char *Key,
-                                           size_t Max = SIZE_MAX);
+                                                   size_t Max = SIZE_MAX);
 
   /**
    * Returns the value of a member, of any type, for an ObjectReader of its own.
@@ -179,7 +179,7 @@
    * @param Allowed Description of the allowed values.
    */
   void addError(const char *Key, const std::string &Found,
-             const std::string &Allowed);
+                const std::string &Allowed);
 
   /**
    * Returns the path of a member.
@@ -196,7 +196,7 @@
 
   const nlohmann::json *Object;   ///< Null if the value is not an object.
   std::string Path;               ///< Path of the object.
-  ValidationErrors *Errors;              ///< Receives the errors.
+  ValidationErrors *Errors;       ///< Receives the errors.
   std::vector<std::string> Known; ///< Names of the members read so far.
 };
 
--- a/packages/core/src/configuration/config_spread.cpp
+++ b/packages/core/src/configuration/config_spread.cpp
@@ -111,7 +111,8 @@
 
 /** Handles a peer's answer to a pull or probe. */
 FleetMessageResult handlePush(ConfigView &View, Membership &Fleet, LinkId Link,
-                     const ConfigPush &Push, TimePoint Now, Effects &Out) {
+                              const ConfigPush &Push, TimePoint Now,
+                              Effects &Out) {
   PeerLink &Peer = Fleet.Links.at(Link);
   Peer.Answered = true;
   Peer.AnsweredFresh = Peer.AnsweredFresh || Push.Fresh;
@@ -131,7 +132,7 @@
 } // namespace
 
 OfferResult applyDocument(ConfigView &View, Membership &Fleet,
-                         std::string_view Text, TimePoint Now, Effects &Out) {
+                          std::string_view Text, TimePoint Now, Effects &Out) {
   const OfferResult Verdict = offerDocument(View, Text, Now);
   if (Verdict == OfferResult::Invalid)
     Out.push_back(LogNote{LogPart::Config, LogLevel::Warn,
@@ -189,8 +190,9 @@
   Out.push_back(SendMessage{Peer->Link, ConfigPull{versionInForce(View)}});
 }
 
-FleetMessageResult handleFleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
-                       const Message &m, TimePoint Now, Effects &Out) {
+FleetMessageResult handleFleetMessage(ConfigView &View, Membership &Fleet,
+                                      LinkId Link, const Message &m,
+                                      TimePoint Now, Effects &Out) {
   return std::visit(
       Overloaded{[&](const Hello &Peer) {
                    handleHello(Fleet, Link, Peer);
@@ -200,7 +202,8 @@
                    reportVersionConflict(View, Fleet, Peer.Version,
                                          Peer.ConfigDigest, Out);
                    pullWhenBehind(View, Fleet, Now, Out);
-                   return NewEntry ? FleetMessageResult::NewEntry : FleetMessageResult::Handled;
+                   return NewEntry ? FleetMessageResult::NewEntry
+                                   : FleetMessageResult::Handled;
                  },
                  [&](const EntryNotice &Seen) {
                    return handleEntryNotice(Fleet, Seen, Now, Out)
--- a/packages/core/src/configuration/config_spread_func.h
+++ b/packages/core/src/configuration/config_spread_func.h
@@ -18,7 +18,7 @@
 
 /** Result of handling a message between processes. */
 enum class FleetMessageResult : uint8_t {
-  Unrelated,     ///< The message concerns neither membership nor configuration.
+  Unrelated,   ///< The message concerns neither membership nor configuration.
   Handled,     ///< Nothing more to do.
   NewDocument, ///< A new document came into force.
   NewEntry     ///< An entry became known, or has moved.
@@ -35,7 +35,7 @@
  * @return Whether it came into force; else why not.
  */
 OfferResult applyDocument(ConfigView &View, Membership &Fleet,
-                         std::string_view Text, TimePoint Now, Effects &Out);
+                          std::string_view Text, TimePoint Now, Effects &Out);
 
 /**
  * Pulls the document from one peer when some peer has a newer one and no pull
@@ -58,8 +58,9 @@
  * @param Out Effects are appended.
  * @return What the caller has to react to.
  */
-FleetMessageResult handleFleetMessage(ConfigView &View, Membership &Fleet, LinkId Link,
-                       const Message &m, TimePoint Now, Effects &Out);
+FleetMessageResult handleFleetMessage(ConfigView &View, Membership &Fleet,
+                                      LinkId Link, const Message &m,
+                                      TimePoint Now, Effects &Out);
 
 /**
  * Does the periodic work of membership, join and configuration.
--- a/packages/core/src/configuration/document.cpp
+++ b/packages/core/src/configuration/document.cpp
@@ -88,7 +88,8 @@
   Class.Model.Value = Reader.readText("model", false);
   Class.Service.Value = Reader.readText("service", false);
   if (Class.Model.Value.empty() == Class.Service.Value.empty())
-    Reader.addError("model", "both or none of model and service", "one of them");
+    Reader.addError("model", "both or none of model and service",
+                    "one of them");
   Class.Kind =
       Class.Model.Value.empty() ? BackEndKind::Service : BackEndKind::Model;
   Class.Repeatable = Reader.readBool("repeatable", true);
@@ -100,9 +101,10 @@
       "first_token_ms", false, Class.FirstToken.count(), 1, MaxMillis));
   Class.BetweenTokens = Millis(Reader.readInteger(
       "between_tokens_ms", false, Class.BetweenTokens.count(), 1, MaxMillis));
-  Class.Deadline = Millis(Reader.readInteger("deadline_ms", false,
-                                        Class.Deadline.count(), 1, MaxMillis));
-  Class.ServingShare = Reader.readNumber("serving_share", Class.ServingShare, 0, 1);
+  Class.Deadline = Millis(Reader.readInteger(
+      "deadline_ms", false, Class.Deadline.count(), 1, MaxMillis));
+  Class.ServingShare =
+      Reader.readNumber("serving_share", Class.ServingShare, 0, 1);
   return Class;
 }
 
@@ -110,8 +112,8 @@
 Workspace readWorkspace(ObjectReader &Reader) {
   Workspace Parsed;
   Parsed.Name.Value = Reader.readText("name", true);
-  Parsed.Weight =
-      static_cast<uint32_t>(Reader.readInteger("weight", false, 1, 1, MaxWeight));
+  Parsed.Weight = static_cast<uint32_t>(
+      Reader.readInteger("weight", false, 1, 1, MaxWeight));
   Parsed.Keys = Reader.readTextList("keys");
   constexpr int64_t NoRank = -1;
   const int64_t Rank =
@@ -145,7 +147,7 @@
       (Model.TotalBytes + Model.ChunkBytes - 1) / Model.ChunkBytes;
   if (Model.Chunks.size() != Needed)
     Reader.addError("chunks", std::to_string(Model.Chunks.size()) + " chunks",
-                 std::to_string(Needed) + " for this size");
+                    std::to_string(Needed) + " for this size");
   Model.Set = weightsSetDigest(Model.Chunks);
   return Model;
 }
@@ -159,7 +161,8 @@
   Host.Model.Value = Reader.readText("model", false);
   Host.Service.Value = Reader.readText("service", false);
   if (Host.Model.Value.empty() == Host.Service.Value.empty())
-    Reader.addError("model", "both or none of model and service", "one of them");
+    Reader.addError("model", "both or none of model and service",
+                    "one of them");
   return Host;
 }
 
@@ -181,7 +184,7 @@
   One.Prefix = Reader.readText("prefix", true);
   if (!One.Prefix.starts_with('/') || !One.Prefix.ends_with('/'))
     Reader.addError("prefix", "\"" + One.Prefix + "\"",
-                 "a path that begins and ends with a slash");
+                    "a path that begins and ends with a slash");
   One.Kind = readEnum<RouteKind>(Reader, "kind", RouteKindNames);
   One.Resumable = Reader.readBool("resumable", false);
   One.Anonymous = Reader.readBool("anonymous", false);
@@ -193,8 +196,8 @@
       Millis(Reader.readInteger("gap_target_ms", false, 0, 0, MaxMillis));
   One.LongestSilence =
       Millis(Reader.readInteger("longest_silence_ms", false, 0, 0, MaxMillis));
-  One.Rank =
-      static_cast<uint32_t>(Reader.readInteger("rank", false, 0, 0, MaxPriority));
+  One.Rank = static_cast<uint32_t>(
+      Reader.readInteger("rank", false, 0, 0, MaxPriority));
   One.Regions = toIdSet<RegionName>(Reader.readTextList("regions"));
   for (const Json *Part : Reader.listElements("targets", MaxTargets)) {
     ObjectReader Row(*Part, Reader.memberPath("targets"), Reader.errorList());
@@ -215,9 +218,10 @@
   Service One;
   One.Name.Value = Reader.readText("name", true);
   One.Model.Value = Reader.readText("model", false);
-  One.MaxConnections = static_cast<uint32_t>(
-      Reader.readInteger("max_connections", false, 0, 0, MaxConnectionsAllowed));
-  One.PromptTokensPerSecond = Reader.readNumber("read_tokens_per_second", 0, 0, MaxTokenRate);
+  One.MaxConnections = static_cast<uint32_t>(Reader.readInteger(
+      "max_connections", false, 0, 0, MaxConnectionsAllowed));
+  One.PromptTokensPerSecond =
+      Reader.readNumber("read_tokens_per_second", 0, 0, MaxTokenRate);
   One.ColdPerSecond =
       Reader.readNumber("cold_per_second", 0, 0, MaxConnectionsAllowed);
   return One;
@@ -325,12 +329,12 @@
 Document readDocument(const Json &Value, ValidationErrors &Faults) {
   Document Doc;
   ObjectReader Root(Value, "", Faults);
-  Doc.Version.Value = static_cast<uint64_t>(
-      Root.readInteger("version", true, 1, 1, std::numeric_limits<int64_t>::max()));
+  Doc.Version.Value = static_cast<uint64_t>(Root.readInteger(
+      "version", true, 1, 1, std::numeric_limits<int64_t>::max()));
   Doc.Classes =
       readList<WorkClass>(Root, "classes", MaxClasses, Faults, readClass);
-  Doc.Workspaces =
-      readList<Workspace>(Root, "tenants", MaxWorkspaces, Faults, readWorkspace);
+  Doc.Workspaces = readList<Workspace>(Root, "tenants", MaxWorkspaces, Faults,
+                                       readWorkspace);
   Doc.Models =
       readList<ModelVersion>(Root, "models", MaxModels, Faults, readModel);
   Doc.Workers =
--- a/packages/core/src/configuration/document_change.cpp
+++ b/packages/core/src/configuration/document_change.cpp
@@ -71,7 +71,8 @@
 
 } // namespace
 
-DocumentChange compareDocuments(const Document *InForce, const Document &Candidate) {
+DocumentChange compareDocuments(const Document *InForce,
+                                const Document &Candidate) {
   static const Document Empty;
   const Document &Old = InForce == nullptr ? Empty : *InForce;
   DocumentChange Change;
--- a/packages/core/src/configuration/document_change_func.h
+++ b/packages/core/src/configuration/document_change_func.h
@@ -14,7 +14,8 @@
  * @param Candidate A valid document.
  * @return What publishing the candidate would change.
  */
-DocumentChange compareDocuments(const Document *InForce, const Document &Candidate);
+DocumentChange compareDocuments(const Document *InForce,
+                                const Document &Candidate);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/configuration/document_type.h
+++ b/packages/core/src/configuration/document_type.h
@@ -36,7 +36,7 @@
 
 /** A customer's workspace. */
 struct Workspace {
-  WorkspaceName Name;               ///< Name in the request header.
+  WorkspaceName Name;            ///< Name in the request header.
   uint32_t Weight = 1;           ///< Share relative to other workspaces.
   std::vector<std::string> Keys; ///< API keys of its callers.
   std::optional<uint32_t> Rank;  ///< Overrides a route's; 0 is first.
@@ -119,8 +119,9 @@
   ServiceName Name;            ///< Unique.
   ModelName Model;             ///< Model it runs; empty for a plain service.
   uint32_t MaxConnections = 0; ///< Connections a back end supports; 0: unknown.
-  double PromptTokensPerSecond = 0;    ///< Prompt tokens per back end; 0: unlimited.
-  double ColdPerSecond = 0;    ///< Requests per cold back end; 0: unlimited.
+  double PromptTokensPerSecond =
+      0;                    ///< Prompt tokens per back end; 0: unlimited.
+  double ColdPerSecond = 0; ///< Requests per cold back end; 0: unlimited.
 
   bool operator==(const Service &) const = default;
 };
@@ -151,10 +152,10 @@
 
 /** A team that uses the administration API. */
 struct Team {
-  std::string Name;             ///< For display and logs.
-  Digest TokenDigest;           ///< SHA-256 of the team's token.
-  bool Operator = false;        ///< Sees everything.
-  std::set<ClassName> Classes;  ///< Classes that the team sees.
+  std::string Name;                   ///< For display and logs.
+  Digest TokenDigest;                 ///< SHA-256 of the team's token.
+  bool Operator = false;              ///< Sees everything.
+  std::set<ClassName> Classes;        ///< Classes that the team sees.
   std::set<WorkspaceName> Workspaces; ///< Workspaces that the team sees.
 
   bool operator==(const Team &) const = default;
@@ -166,7 +167,7 @@
   Digest ContentDigest;               ///< Digest of the published text.
   std::string Text;                   ///< The text as published.
   std::vector<WorkClass> Classes;     ///< All classes of work.
-  std::vector<Workspace> Workspaces;        ///< All workspaces.
+  std::vector<Workspace> Workspaces;  ///< All workspaces.
   std::vector<ModelVersion> Models;   ///< Wanted version of each model.
   std::vector<Worker> Workers;        ///< All backend server hosts.
   std::vector<EntryHost> Entries;     ///< All entry hosts.
--- a/packages/core/src/configuration/reader_rank.cpp
+++ b/packages/core/src/configuration/reader_rank.cpp
@@ -96,8 +96,8 @@
   return Turn;
 }
 
-void recordReadResult(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
-               TimePoint Now) {
+void recordReadResult(Membership &Fleet, bool Answered, bool Useful,
+                      TimePoint Began, TimePoint Now) {
   Join &Joining = Fleet.Joining;
   // A service that has gone back to an older version or holds an invalid
   // document answers every read at once: without back-off, its readers would
--- a/packages/core/src/configuration/reader_rank_func.h
+++ b/packages/core/src/configuration/reader_rank_func.h
@@ -49,8 +49,8 @@
  * @param Began When the read began.
  * @param Now Current time.
  */
-void recordReadResult(Membership &Fleet, bool Answered, bool Useful, TimePoint Began,
-               TimePoint Now);
+void recordReadResult(Membership &Fleet, bool Answered, bool Useful,
+                      TimePoint Began, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/caller_age.cpp
+++ b/packages/core/src/forwarding/caller_age.cpp
@@ -42,7 +42,8 @@
   return std::max(Shortest - Told, Duration{0});
 }
 
-Duration recognizableRetryDelay(const InitialDeadlines &Deadlines, const Route &Matched) {
+Duration recognizableRetryDelay(const InitialDeadlines &Deadlines,
+                                const Route &Matched) {
   const auto it = Deadlines.LongestDeadline.find(Matched.Name);
   if (it == Deadlines.LongestDeadline.end())
     return Duration{0};
--- a/packages/core/src/forwarding/caller_age_func.h
+++ b/packages/core/src/forwarding/caller_age_func.h
@@ -35,7 +35,8 @@
  * @param Matched Route of the request.
  * @return The delay; 0 where nothing is known.
  */
-Duration recognizableRetryDelay(const InitialDeadlines &Deadlines, const Route &Matched);
+Duration recognizableRetryDelay(const InitialDeadlines &Deadlines,
+                                const Route &Matched);
 
 /**
  * Removes the state of routes that a document does not have; route names change
--- a/packages/core/src/forwarding/caller_wait.cpp
+++ b/packages/core/src/forwarding/caller_wait.cpp
@@ -20,7 +20,8 @@
   if (Matched.Kind != RouteKind::Stream ||
       Matched.LongestSilence <= TransitTime)
     return Deadline;
-  return std::min(Deadline, LastDeliveryAt + Matched.LongestSilence - TransitTime);
+  return std::min(Deadline,
+                  LastDeliveryAt + Matched.LongestSilence - TransitTime);
 }
 
 } // namespace jacinthpond
--- a/packages/core/src/forwarding/caller_wait_func.h
+++ b/packages/core/src/forwarding/caller_wait_func.h
@@ -15,8 +15,8 @@
  * gets an error in time may retry.
  * @param Matched Route of the request.
  * @param Deadline The caller's deadline or the route's timeout.
- * @param LastDeliveryAt When the request arrived, or the last part was sent to the
- * caller.
+ * @param LastDeliveryAt When the request arrived, or the last part was sent to
+ * the caller.
  * @return The time; not after the deadline.
  */
 TimePoint answerDeadline(const Route &Matched, TimePoint Deadline,
--- a/packages/core/src/forwarding/event_stream.cpp
+++ b/packages/core/src/forwarding/event_stream.cpp
@@ -41,8 +41,9 @@
 
 } // namespace
 
-EventStreamStatus appendCompleteEvents(EventStream &Stream, std::string_view Bytes,
-                       std::string &Out) {
+EventStreamStatus appendCompleteEvents(EventStream &Stream,
+                                       std::string_view Bytes,
+                                       std::string &Out) {
   Stream.Partial += Bytes;
   size_t Done = 0;
   const std::string_view All = Stream.Partial;
@@ -60,7 +61,8 @@
     Done += n;
   }
   Stream.Partial.erase(0, Done);
-  if (Status == EventStreamStatus::Good && Stream.Partial.size() > MaxEventBytes)
+  if (Status == EventStreamStatus::Good &&
+      Stream.Partial.size() > MaxEventBytes)
     return EventStreamStatus::TooLarge;
   return Status;
 }
--- a/packages/core/src/forwarding/event_stream_func.h
+++ b/packages/core/src/forwarding/event_stream_func.h
@@ -24,8 +24,9 @@
  * @param Out Complete events are appended.
  * @return Good, or why the stream cannot continue.
  */
-EventStreamStatus appendCompleteEvents(EventStream &Stream, std::string_view Bytes,
-                       std::string &Out);
+EventStreamStatus appendCompleteEvents(EventStream &Stream,
+                                       std::string_view Bytes,
+                                       std::string &Out);
 
 /**
  * Discards the start of an event that will not be completed.
--- a/packages/core/src/forwarding/fleet_snapshot.cpp
+++ b/packages/core/src/forwarding/fleet_snapshot.cpp
@@ -56,11 +56,13 @@
   Snapshot.Ready = Entry.View.InForce != nullptr &&
                    (isViewFresh(Fleet) ||
                     (Entry.Config.ServeCutOff && Fleet.Joining.WasFresh));
-  Snapshot.ReadyBy = expectedReadyTime(Fleet.Joining.Since, Fleet.Times.JoinWait);
+  Snapshot.ReadyBy =
+      expectedReadyTime(Fleet.Joining.Since, Fleet.Times.JoinWait);
   // An entry that was paused has heard from no peer yet. If that counted as an
   // outage of the list, servers that left the list during the pause would still
   // be used for some time.
-  Snapshot.ListingUnavailable = isViewFresh(Fleet) && !isServiceAnswering(Fleet, Now);
+  Snapshot.ListingUnavailable =
+      isViewFresh(Fleet) && !isServiceAnswering(Fleet, Now);
   const std::set<HostName> Linked = linkedEntries(Fleet);
   const bool SelfAccepts = Snapshot.Ready && !Entry.Stopping;
   const std::vector<EntryHost> Known =
@@ -78,7 +80,8 @@
   return Snapshot;
 }
 
-std::vector<AgentReport> collectAgentReports(const EntryState &Entry, PassedAgentReports &Passed) {
+std::vector<AgentReport> collectAgentReports(const EntryState &Entry,
+                                             PassedAgentReports &Passed) {
   std::vector<AgentReport> Reports;
   std::map<HostName, TimePoint> Heard;
   for (const auto &[Id, Link] : Entry.Fleet.Links) {
--- a/packages/core/src/forwarding/fleet_snapshot_func.h
+++ b/packages/core/src/forwarding/fleet_snapshot_func.h
@@ -32,7 +32,8 @@
  * @param Passed Reports that were already passed on; updated.
  * @return The new reports.
  */
-std::vector<AgentReport> collectAgentReports(const EntryState &Entry, PassedAgentReports &Passed);
+std::vector<AgentReport> collectAgentReports(const EntryState &Entry,
+                                             PassedAgentReports &Passed);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/fleet_snapshot_type.h
+++ b/packages/core/src/forwarding/fleet_snapshot_type.h
@@ -14,9 +14,9 @@
 
 /** State of the fleet that the control thread passes to the traffic thread. */
 struct FleetSnapshot {
-  bool Ready = false;           ///< This entry may forward requests.
-  TimePoint ReadyBy;            ///< When it is expected to be ready.
-  bool ListingUnavailable = false;     ///< No process can read the list of servers.
+  bool Ready = false;              ///< This entry may forward requests.
+  TimePoint ReadyBy;               ///< When it is expected to be ready.
+  bool ListingUnavailable = false; ///< No process can read the list of servers.
   std::vector<EntryHost> Alive; ///< Entries that accept callers, with this one.
   uint32_t Sharers = 1; ///< Entries that share the back ends, with this one.
   std::vector<HostName> SharerNames; ///< Their names; empty: unknown.
--- a/packages/core/src/forwarding/liveness.cpp
+++ b/packages/core/src/forwarding/liveness.cpp
@@ -39,7 +39,7 @@
 }
 
 std::optional<TimePoint> unresponsiveFrom(const ServerPool &Pool,
-                                         const InstanceId &Id) {
+                                          const InstanceId &Id) {
   const ServerView *View = findServer(Pool, Id);
   if (View == nullptr || !View->ProbePendingSince)
     return std::nullopt;
--- a/packages/core/src/forwarding/liveness_func.h
+++ b/packages/core/src/forwarding/liveness_func.h
@@ -45,7 +45,7 @@
  * @return The time; nothing while no probe is pending.
  */
 std::optional<TimePoint> unresponsiveFrom(const ServerPool &Pool,
-                                         const InstanceId &Id);
+                                          const InstanceId &Id);
 
 /**
  * Says whether the host of a back end counts as unresponsive.
--- a/packages/core/src/forwarding/place_search.cpp
+++ b/packages/core/src/forwarding/place_search.cpp
@@ -38,8 +38,8 @@
   ++Search.SlotRequests;
 }
 
-void recordSlotRefusal(SlotSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
-                  bool OnlyBusy) {
+void recordSlotRefusal(SlotSearch &Search, ServerNeeds &Needs,
+                       const InstanceId &Id, bool OnlyBusy) {
   Needs.Full.insert(Id);
   if (Search.IdleOnly && OnlyBusy)
     Search.Busy.insert(Id);
--- a/packages/core/src/forwarding/place_search_func.h
+++ b/packages/core/src/forwarding/place_search_func.h
@@ -46,8 +46,8 @@
  * @param Id Instance of the back end.
  * @param OnlyBusy Whether it may still accept the request once it is less busy.
  */
-void recordSlotRefusal(SlotSearch &Search, ServerNeeds &Needs, const InstanceId &Id,
-                  bool OnlyBusy);
+void recordSlotRefusal(SlotSearch &Search, ServerNeeds &Needs,
+                       const InstanceId &Id, bool OnlyBusy);
 
 /**
  * Ends the search for an idle back end: those that refused only because they
--- a/packages/core/src/forwarding/rate_share.cpp
+++ b/packages/core/src/forwarding/rate_share.cpp
@@ -90,7 +90,7 @@
     return true;
   View.ColdLimit.PerSecond = Spec.ColdPerSecond;
   return maySendRequest(View.ColdLimit,
-                           shareOfRate(View.ColdLimit, Pool, View, Spec), Now);
+                        shareOfRate(View.ColdLimit, Pool, View, Spec), Now);
 }
 
 } // namespace
@@ -115,7 +115,8 @@
   return toMillis(Retry - Now);
 }
 
-void countRequestWithoutSlot(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void countRequestWithoutSlot(ServerPool &Pool, const InstanceId &Id,
+                             TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
@@ -127,8 +128,8 @@
 }
 
 RateChange recordAnswerRate(ServerPool &Pool, const InstanceId &Id,
-                     std::optional<double> PerSecond, TimePoint SentAt,
-                     TimePoint Now) {
+                            std::optional<double> PerSecond, TimePoint SentAt,
+                            TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return RateChange::None;
@@ -136,30 +137,34 @@
                    : recordNoRateLimit(View->Rate, SentAt);
 }
 
-RateChange recordPeerRate(ServerPool &Pool, const RateLimitNotice &Notice, TimePoint Now) {
+RateChange recordPeerRate(ServerPool &Pool, const RateLimitNotice &Notice,
+                          TimePoint Now) {
   ServerView *View = findServer(Pool, Notice.Server);
   if (View == nullptr)
     return RateChange::None;
   const Millis Age(static_cast<int64_t>(
       std::min<uint64_t>(Notice.AgeMillis, MaxNoticeAge.count())));
-  return Notice.PerSecond ? recordRateLimit(View->Rate, *Notice.PerSecond, Now - Age)
-                          : recordNoRateLimit(View->Rate, Now - Age);
+  return Notice.PerSecond
+             ? recordRateLimit(View->Rate, *Notice.PerSecond, Now - Age)
+             : recordNoRateLimit(View->Rate, Now - Age);
 }
 
 void recordRateRefusal(ServerPool &Pool, const InstanceId &Id, Duration Wait,
-                 TimePoint Now) {
+                       TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
     View->NoSlotUntil = Now + std::max(Wait, Duration(MinNoSlotTime));
 }
 
-std::optional<RateLimitNotice> rateNoticeForAgent(const ServerView &View, TimePoint Now) {
+std::optional<RateLimitNotice> rateNoticeForAgent(const ServerView &View,
+                                                  TimePoint Now) {
   if (!View.Rate.PerSecond || !hasAgent(View) || View.Agent->PerSecond)
     return std::nullopt;
   const Millis Age = toMillis(Now - View.Rate.LimitSeenAt);
-  return RateLimitNotice{{},
-                   View.Listed.Id,
-                   View.Rate.PerSecond,
-                   static_cast<uint64_t>(std::max<int64_t>(0, Age.count()))};
+  return RateLimitNotice{
+      {},
+      View.Listed.Id,
+      View.Rate.PerSecond,
+      static_cast<uint64_t>(std::max<int64_t>(0, Age.count()))};
 }
 
 bool isRateLimited(const ServerPool &Pool, const InstanceId &Id) {
--- a/packages/core/src/forwarding/rate_share_func.h
+++ b/packages/core/src/forwarding/rate_share_func.h
@@ -42,7 +42,8 @@
  * @param Id Instance of the back end.
  * @param Now Current time.
  */
-void countRequestWithoutSlot(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void countRequestWithoutSlot(ServerPool &Pool, const InstanceId &Id,
+                             TimePoint Now);
 
 /**
  * Records the rate limit that an answer of a back end stated.
@@ -54,8 +55,8 @@
  * @return How the known limit changed.
  */
 RateChange recordAnswerRate(ServerPool &Pool, const InstanceId &Id,
-                     std::optional<double> PerSecond, TimePoint SentAt,
-                     TimePoint Now);
+                            std::optional<double> PerSecond, TimePoint SentAt,
+                            TimePoint Now);
 
 /**
  * Records a rate limit that another entry learned from an answer.
@@ -64,7 +65,8 @@
  * @param Now Current time.
  * @return How the known limit changed; a change must be passed on.
  */
-RateChange recordPeerRate(ServerPool &Pool, const RateLimitNotice &Notice, TimePoint Now);
+RateChange recordPeerRate(ServerPool &Pool, const RateLimitNotice &Notice,
+                          TimePoint Now);
 
 /**
  * Records that an agent refused a slot because of its back end's rate limit.
@@ -74,7 +76,7 @@
  * @param Now Current time.
  */
 void recordRateRefusal(ServerPool &Pool, const InstanceId &Id, Duration Wait,
-                 TimePoint Now);
+                       TimePoint Now);
 
 /**
  * Gives the rate limit notice that an agent must get before the next slot
@@ -83,7 +85,8 @@
  * @param Now Current time.
  * @return The notice; nothing when the agent knows, or when there is no limit.
  */
-std::optional<RateLimitNotice> rateNoticeForAgent(const ServerView &View, TimePoint Now);
+std::optional<RateLimitNotice> rateNoticeForAgent(const ServerView &View,
+                                                  TimePoint Now);
 
 /**
  * Says whether a rate limit of a back end is known.
--- a/packages/core/src/forwarding/repeat_budget.cpp
+++ b/packages/core/src/forwarding/repeat_budget.cpp
@@ -52,13 +52,13 @@
 } // namespace
 
 void countFirstAttempt(RepeatBudget &Budget, const ServiceName &Service,
-                TimePoint Now) {
+                       TimePoint Now) {
   RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
   ++Counts.First.at(newestIndex(Counts));
 }
 
 bool takeRepeat(RepeatBudget &Budget, const ServiceName &Service,
-               uint32_t Entries, TimePoint Now) {
+                uint32_t Entries, TimePoint Now) {
   if (!hasRepeatsLeft(Budget, Service, Entries, Now)) {
     ++Budget.Denied;
     return false;
@@ -69,7 +69,7 @@
 }
 
 bool hasRepeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
-                 uint32_t Entries, TimePoint Now) {
+                    uint32_t Entries, TimePoint Now) {
   const RepeatCounts &Counts = advanceCounts(Budget, Service, Now);
   const double Shared = static_cast<double>(Budget.Limits.Slack) /
                         static_cast<double>(std::max(1U, Entries));
--- a/packages/core/src/forwarding/repeat_budget_func.h
+++ b/packages/core/src/forwarding/repeat_budget_func.h
@@ -21,7 +21,7 @@
  * @param Now Current time.
  */
 void countFirstAttempt(RepeatBudget &Budget, const ServiceName &Service,
-                TimePoint Now);
+                       TimePoint Now);
 
 /**
  * Takes one retry from the budget, if it has any left.
@@ -32,7 +32,7 @@
  * @return Whether the retry may be sent.
  */
 bool takeRepeat(RepeatBudget &Budget, const ServiceName &Service,
-               uint32_t Entries, TimePoint Now);
+                uint32_t Entries, TimePoint Now);
 
 /**
  * Says whether the budget has a retry left, without taking it.
@@ -43,7 +43,7 @@
  * @return Whether takeRepeat() would return true.
  */
 bool hasRepeatsLeft(RepeatBudget &Budget, const ServiceName &Service,
-                 uint32_t Entries, TimePoint Now);
+                    uint32_t Entries, TimePoint Now);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/route_match.cpp
+++ b/packages/core/src/forwarding/route_match.cpp
@@ -65,7 +65,7 @@
 }
 
 const Workspace *matchWorkspace(const RouteIndex &Index,
-                          std::string_view Authorization) {
+                                std::string_view Authorization) {
   const std::string_view Value = trimmed(Authorization);
   const std::string Scheme = toLowerCase(Value.substr(0, BearerScheme.size()));
   if (Scheme != BearerScheme)
--- a/packages/core/src/forwarding/route_match_func.h
+++ b/packages/core/src/forwarding/route_match_func.h
@@ -34,7 +34,7 @@
  * @return The workspace that has the key, or null.
  */
 const Workspace *matchWorkspace(const RouteIndex &Index,
-                          std::string_view Authorization);
+                                std::string_view Authorization);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/forwarding/server_listing.cpp
+++ b/packages/core/src/forwarding/server_listing.cpp
@@ -37,7 +37,8 @@
       View.UnlistedSince = Now;
   std::erase_if(Pool.Servers, [&](const auto &Row) {
     const ServerView &View = Row.second;
-    return View.UnlistedSince && View.Open == 0 && Now >= Pool.KeepUnlistedUntil;
+    return View.UnlistedSince && View.Open == 0 &&
+           Now >= Pool.KeepUnlistedUntil;
   });
 }
 
@@ -74,7 +75,7 @@
 } // namespace
 
 void applyPoolDocument(ServerPool &Pool, const DocumentPtr &Doc,
-                 std::optional<TimePoint> PublishedAfter, TimePoint Now) {
+                       std::optional<TimePoint> PublishedAfter, TimePoint Now) {
   Pool.Doc = Doc;
   updateServers(Pool, Now);
   updateWantedWeights(Pool, PublishedAfter);
--- a/packages/core/src/forwarding/server_pool.cpp
+++ b/packages/core/src/forwarding/server_pool.cpp
@@ -111,8 +111,9 @@
   // once would never be used again.
   if (hasAgent(View))
     return View.Open + View.OtherRequests;
-  const double Age = static_cast<double>(toMillis(Now - View.LoadReportedAt).count()) /
-                     static_cast<double>(LoadHalfLife.count());
+  const double Age =
+      static_cast<double>(toMillis(Now - View.LoadReportedAt).count()) /
+      static_cast<double>(LoadHalfLife.count());
   return View.Open + View.OtherRequests * std::exp2(-std::max(0.0, Age));
 }
 
@@ -164,8 +165,9 @@
 
 /** Finds a set among the replaced ones; null when it is none of them. */
 const ReplacedWeights *findReplacedWeights(const WantedWeights &Wanted,
-                                       const Digest &Set) {
-  const auto it = std::ranges::find(Wanted.ReplacedSets, Set, &ReplacedWeights::Set);
+                                           const Digest &Set) {
+  const auto it =
+      std::ranges::find(Wanted.ReplacedSets, Set, &ReplacedWeights::Set);
   return it == Wanted.ReplacedSets.end() ? nullptr : &*it;
 }
 
@@ -187,7 +189,8 @@
   // would start on former weights whenever the host resumes.
   if (hasLostAgent(View))
     return false;
-  const ReplacedWeights *ReplacedSet = findReplacedWeights(it->second, View.Weights);
+  const ReplacedWeights *ReplacedSet =
+      findReplacedWeights(it->second, View.Weights);
   return ReplacedSet != nullptr && Now < ReplacedSet->Until;
 }
 
@@ -254,7 +257,8 @@
 
 } // namespace
 
-void applyAgentReport(ServerPool &Pool, const AgentReport &Report, TimePoint Now) {
+void applyAgentReport(ServerPool &Pool, const AgentReport &Report,
+                      TimePoint Now) {
   for (auto &[Id, View] : Pool.Servers) {
     if (View.Listed.At != Report.Server || View.UnlistedSince)
       continue;
@@ -298,10 +302,10 @@
       continue;
     ++Choice.Candidates;
     // Where there is an agent, it decides whether there is room.
-    const bool Full =
-        (!hasAgent(View) && estimatedRequests(View, Now) + 1 >
-                                requestCapacity(Pool, View, *Needs.MatchedRoute)) ||
-        (mayBePaused(View) && View.Open > 0);
+    const bool Full = (!hasAgent(View) &&
+                       estimatedRequests(View, Now) + 1 >
+                           requestCapacity(Pool, View, *Needs.MatchedRoute)) ||
+                      (mayBePaused(View) && View.Open > 0);
     if (Full)
       continue;
     if (!isWithinRates(Pool, View, Spec, Now)) {
@@ -352,12 +356,13 @@
 }
 
 void recordServerLoad(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
-              TimePoint Now) {
+                      TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
     recordReportedRequests(*View, Busy, Now);
 }
 
-void recordServerActivity(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void recordServerActivity(ServerPool &Pool, const InstanceId &Id,
+                          TimePoint Now) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
@@ -371,19 +376,20 @@
 }
 
 void recordFirstPartTime(ServerPool &Pool, const ServiceName &Service,
-                   Duration Took) {
+                         Duration Took) {
   recordFirstPart(Pool.FirstPartTimes[Service], Took, Duration{0});
 }
 
 Duration usualFirstPartTime(const ServerPool &Pool, const ServiceName &Service,
-                        Duration Default) {
+                            Duration Default) {
   const auto it = Pool.FirstPartTimes.find(Service);
   return it == Pool.FirstPartTimes.end()
              ? Default
              : expectedFirstPartTime(it->second, Duration{0});
 }
 
-void recordPrefillBacklog(ServerPool &Pool, const InstanceId &Id, Duration Backlog) {
+void recordPrefillBacklog(ServerPool &Pool, const InstanceId &Id,
+                          Duration Backlog) {
   ServerView *View = findServer(Pool, Id);
   if (View == nullptr)
     return;
@@ -397,7 +403,7 @@
 }
 
 void recordAttemptEnd(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
-                   Duration Took, TimePoint Now) {
+                      Duration Took, TimePoint Now) {
   ServerView *Found = findServer(Pool, Id);
   if (Found == nullptr)
     return;
@@ -462,7 +468,8 @@
          isUsable(Pool, *View, Needs, *Spec, Now);
 }
 
-const WantedWeights *wantedWeightsFor(const ServerPool &Pool, const ServerView &View) {
+const WantedWeights *wantedWeightsFor(const ServerPool &Pool,
+                                      const ServerView &View) {
   const Service *Spec = findService(Pool, View.Listed.Service);
   const auto it =
       Spec == nullptr ? Pool.Wanted.end() : Pool.Wanted.find(Spec->Model);
@@ -477,17 +484,20 @@
   if (Wanted == nullptr)
     return "";
   const std::vector<ReplacedWeights> &ReplacedSets = Wanted->ReplacedSets;
-  const bool AnyExpired = std::ranges::any_of(
-      ReplacedSets, [&](const ReplacedWeights &One) { return Now >= One.Until; });
+  const bool AnyExpired =
+      std::ranges::any_of(ReplacedSets, [&](const ReplacedWeights &One) {
+        return Now >= One.Until;
+      });
   if (!AnyExpired && !ReplacedSets.empty())
     return "";
-  const ReplacedWeights *ReplacedSet = findReplacedWeights(*Wanted, View->Weights);
+  const ReplacedWeights *ReplacedSet =
+      findReplacedWeights(*Wanted, View->Weights);
   return ReplacedSet == nullptr ? Wanted->Version : ReplacedSet->Version;
 }
 
 std::optional<TimePoint> latestStartTime(const ServerPool &Pool,
-                                       const InstanceId &Id,
-                                       const Digest &SentOn) {
+                                         const InstanceId &Id,
+                                         const Digest &SentOn) {
   const ServerView *View = findServer(Pool, Id);
   const WantedWeights *Wanted =
       View == nullptr ? nullptr : wantedWeightsFor(Pool, *View);
@@ -502,7 +512,8 @@
   return ReplacedSet->Until + MaxStartDelay;
 }
 
-void avoidMismatchedServer(ServerPool &Pool, const InstanceId &Id, TimePoint Now) {
+void avoidMismatchedServer(ServerPool &Pool, const InstanceId &Id,
+                           TimePoint Now) {
   if (ServerView *View = findServer(Pool, Id))
     View->AvoidUntil = Now + MismatchAvoidTime;
 }
--- a/packages/core/src/forwarding/server_pool_func.h
+++ b/packages/core/src/forwarding/server_pool_func.h
@@ -16,7 +16,7 @@
  * @param Now Current time.
  */
 void applyPoolDocument(ServerPool &Pool, const DocumentPtr &Doc,
-                 std::optional<TimePoint> PublishedAfter, TimePoint Now);
+                       std::optional<TimePoint> PublishedAfter, TimePoint Now);
 
 /**
  * Records whether the platform's list of servers is available. During an outage
@@ -34,7 +34,8 @@
  * @param Report The report.
  * @param Now Current time.
  */
-void applyAgentReport(ServerPool &Pool, const AgentReport &Report, TimePoint Now);
+void applyAgentReport(ServerPool &Pool, const AgentReport &Report,
+                      TimePoint Now);
 
 /**
  * Chooses the back end for an attempt: the usable one with the lowest load.
@@ -94,8 +95,8 @@
  * unknown.
  */
 std::optional<TimePoint> latestStartTime(const ServerPool &Pool,
-                                       const InstanceId &Id,
-                                       const Digest &SentOn);
+                                         const InstanceId &Id,
+                                         const Digest &SentOn);
 
 /**
  * Gives the weights version that a request must require of a back end. This
@@ -117,7 +118,8 @@
  * @return The wanted weights; null where none are known, as for a service
  * without a model.
  */
-const WantedWeights *wantedWeightsFor(const ServerPool &Pool, const ServerView &View);
+const WantedWeights *wantedWeightsFor(const ServerPool &Pool,
+                                      const ServerView &View);
 
 /**
  * Counts an attempt as open at its back end.
@@ -134,7 +136,7 @@
  * @param Now Current time.
  */
 void recordServerLoad(ServerPool &Pool, const InstanceId &Id, uint32_t Busy,
-              TimePoint Now);
+                      TimePoint Now);
 
 /**
  * Records that any part of an answer arrived from a back end.
@@ -142,7 +144,8 @@
  * @param Id Instance of the back end.
  * @param Now Current time.
  */
-void recordServerActivity(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void recordServerActivity(ServerPool &Pool, const InstanceId &Id,
+                          TimePoint Now);
 
 /**
  * Gives when a back end last sent any part of an answer to this entry.
@@ -158,7 +161,8 @@
  * @param Service Service that answered.
  * @param Took Time since the request was sent.
  */
-void recordFirstPartTime(ServerPool &Pool, const ServiceName &Service, Duration Took);
+void recordFirstPartTime(ServerPool &Pool, const ServiceName &Service,
+                         Duration Took);
 
 /**
  * Gives the time within which most answers of a service begin.
@@ -168,7 +172,7 @@
  * @return Time since the request was sent.
  */
 Duration usualFirstPartTime(const ServerPool &Pool, const ServiceName &Service,
-                        Duration Default);
+                            Duration Default);
 
 /**
  * Gives the weights that a back end has loaded, as last reported.
@@ -185,7 +189,8 @@
  * @param Id Instance of the back end.
  * @param Backlog Time that its queued prompts take to prefill.
  */
-void recordPrefillBacklog(ServerPool &Pool, const InstanceId &Id, Duration Backlog);
+void recordPrefillBacklog(ServerPool &Pool, const InstanceId &Id,
+                          Duration Backlog);
 
 /**
  * Records the end of an attempt and what it shows of its back end.
@@ -196,7 +201,7 @@
  * @param Now Current time.
  */
 void recordAttemptEnd(ServerPool &Pool, const InstanceId &Id, AttemptEnd End,
-                   Duration Took, TimePoint Now);
+                      Duration Took, TimePoint Now);
 
 /**
  * Avoids a back end for a short time after it reported that another instance
@@ -205,7 +210,8 @@
  * @param Id Instance that is gone or has other weights.
  * @param Now Current time.
  */
-void avoidMismatchedServer(ServerPool &Pool, const InstanceId &Id, TimePoint Now);
+void avoidMismatchedServer(ServerPool &Pool, const InstanceId &Id,
+                           TimePoint Now);
 
 /**
  * Gives how many idle connections this entry keeps to each back end of a
--- a/packages/core/src/forwarding/server_pool_type.h
+++ b/packages/core/src/forwarding/server_pool_type.h
@@ -30,17 +30,17 @@
 
 /** State that this entry keeps of one back end. */
 struct ServerView {
-  BackEndServer Listed;              ///< Its row in the document.
+  BackEndServer Listed;                   ///< Its row in the document.
   std::optional<TimePoint> UnlistedSince; ///< When it left the list, if it has.
-  uint32_t Open = 0;                 ///< Open attempts of this entry there.
-  uint32_t OtherRequests = 0;     ///< Requests of other entries, as last reported.
+  uint32_t Open = 0;          ///< Open attempts of this entry there.
+  uint32_t OtherRequests = 0; ///< Requests of other entries, as last reported.
   Duration PrefillBacklog{0}; ///< Prefill time queued there, as last reported.
-  TimePoint LoadReportedAt;           ///< When its load was last reported.
+  TimePoint LoadReportedAt;   ///< When its load was last reported.
   std::optional<AgentReport> Agent; ///< Last report of its agent.
-  TimePoint SilentSince;          ///< When the agent last stopped responding.
-  Digest Weights;                 ///< Weights it has loaded, as last reported.
-  uint32_t Failures = 0;          ///< Consecutive failed attempts.
-  TimePoint AvoidUntil;           ///< It gets no request before this time.
+  TimePoint SilentSince;            ///< When the agent last stopped responding.
+  Digest Weights;             ///< Weights it has loaded, as last reported.
+  uint32_t Failures = 0;      ///< Consecutive failed attempts.
+  TimePoint AvoidUntil;       ///< It gets no request before this time.
   uint32_t MissedReplies = 0; ///< Consecutive slot requests without a reply.
   TimePoint RankLastUntil;    ///< Ranked behind all others until this time.
   double ErrorShare = 0;      ///< Moving average of its share of errors.
@@ -73,10 +73,10 @@
 
 /** Options of a server pool; from the settings. */
 struct PoolOptions {
-  HostName Self;                 ///< Name of this entry.
-  DomainName Domain;             ///< Failure domain of this entry.
+  HostName Self;                    ///< Name of this entry.
+  DomainName Domain;                ///< Failure domain of this entry.
   Millis ReplacedWeightsTime{5000}; ///< Time for requests to start on replaced
-                                 ///< weights.
+                                    ///< weights.
   Millis LapseGrace{2200}; ///< Time for servers to register again after an
                            ///< outage of the list.
 };
@@ -100,11 +100,12 @@
 
 /** What a request needs of a back end. */
 struct ServerNeeds {
-  ServiceName Service;           ///< Service that it is for.
-  const Route *MatchedRoute = nullptr;   ///< Route that it matched.
-  const Workspace *Owner = nullptr; ///< Workspace that it belongs to; null: none.
-  std::set<InstanceId> Tried;    ///< Back ends that were already tried.
-  std::set<InstanceId> Full;     ///< Back ends that just reported no free slot.
+  ServiceName Service;                 ///< Service that it is for.
+  const Route *MatchedRoute = nullptr; ///< Route that it matched.
+  const Workspace *Owner =
+      nullptr;                ///< Workspace that it belongs to; null: none.
+  std::set<InstanceId> Tried; ///< Back ends that were already tried.
+  std::set<InstanceId> Full;  ///< Back ends that just reported no free slot.
   Digest Weights; ///< The only set that can resume the answer, as long as
                   ///< requests may start on it; empty: any.
 };
--- a/packages/core/src/membership/departure.cpp
+++ b/packages/core/src/membership/departure.cpp
@@ -31,8 +31,9 @@
 
 } // namespace
 
-void handleHostList(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
-                  TimePoint Now, Effects &Out) {
+void handleHostList(Membership &Fleet,
+                    const std::vector<HostName> &LeavingHosts, TimePoint Now,
+                    Effects &Out) {
   for (const HostName &Host : LeavingHosts)
     recordDeparture(Fleet, {Host, Incarnation{}, 0}, Now, Out);
 }
--- a/packages/core/src/membership/departure_func.h
+++ b/packages/core/src/membership/departure_func.h
@@ -25,8 +25,9 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handleHostList(Membership &Fleet, const std::vector<HostName> &LeavingHosts,
-                  TimePoint Now, Effects &Out);
+void handleHostList(Membership &Fleet,
+                    const std::vector<HostName> &LeavingHosts, TimePoint Now,
+                    Effects &Out);
 
 /**
  * Records a reported departure, unless the report has expired, and relays a
--- a/packages/core/src/membership/join.cpp
+++ b/packages/core/src/membership/join.cpp
@@ -100,8 +100,9 @@
   }
   // A service that answers nobody publishes nothing: its downtime must not
   // count towards the age of the next document.
-  return isServiceAnswering(Fleet, Fleet.LastTick) ? Last
-                                                : std::max(Last, LastOfAnyPeer);
+  return isServiceAnswering(Fleet, Fleet.LastTick)
+             ? Last
+             : std::max(Last, LastOfAnyPeer);
 }
 
 /** Advances the time up to which this process knows of every published
--- a/packages/core/src/membership/membership.cpp
+++ b/packages/core/src/membership/membership.cpp
@@ -65,8 +65,8 @@
 } // namespace
 
 std::vector<LinkId> setWantedPeers(Membership &Fleet,
-                              const std::vector<PeerAddress> &Peers,
-                              Effects &Out) {
+                                   const std::vector<PeerAddress> &Peers,
+                                   Effects &Out) {
   std::map<HostName, WantedPeer> Next;
   for (const PeerAddress &Peer : Peers) {
     WantedPeer Wanted;
@@ -95,7 +95,8 @@
   return Dropped;
 }
 
-void handleLinkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out) {
+void handleLinkOpened(Membership &Fleet, LinkId Link, TimePoint Now,
+                      Effects &Out) {
   if (Link.Value >= FirstAcceptedLink)
     Fleet.Links[Link].Link = Link;
   const auto it = Fleet.Links.find(Link);
@@ -116,7 +117,7 @@
 }
 
 void logLinkLost(const Membership &Fleet, LinkId Link, TimePoint Now,
-                  Effects &Out) {
+                 Effects &Out) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end() || it->second.State != LinkState::Ready)
     return;
@@ -190,7 +191,7 @@
 }
 
 void handleHeartbeat(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
-                    TimePoint Now) {
+                     TimePoint Now) {
   const auto it = Fleet.Links.find(Link);
   if (it == Fleet.Links.end() || Beat.Sequence <= it->second.ReceivedHeartbeat)
     return;
--- a/packages/core/src/membership/membership_func.h
+++ b/packages/core/src/membership/membership_func.h
@@ -25,8 +25,8 @@
  * @return Links that were closed.
  */
 std::vector<LinkId> setWantedPeers(Membership &Fleet,
-                              const std::vector<PeerAddress> &Peers,
-                              Effects &Out);
+                                   const std::vector<PeerAddress> &Peers,
+                                   Effects &Out);
 
 /**
  * Logs that a link is ready, after the peer's hello has arrived.
@@ -43,7 +43,7 @@
  * @param Out Effects are appended.
  */
 void logLinkLost(const Membership &Fleet, LinkId Link, TimePoint Now,
-                  Effects &Out);
+                 Effects &Out);
 
 /**
  * Handles a link that was opened or accepted: sends the own hello over it.
@@ -52,7 +52,8 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void handleLinkOpened(Membership &Fleet, LinkId Link, TimePoint Now, Effects &Out);
+void handleLinkOpened(Membership &Fleet, LinkId Link, TimePoint Now,
+                      Effects &Out);
 
 /**
  * Handles a link that was closed: removes it and schedules the next attempt to
@@ -88,7 +89,7 @@
  * @param Now Current time.
  */
 void handleHeartbeat(Membership &Fleet, LinkId Link, const Heartbeat &Beat,
-                    TimePoint Now);
+                     TimePoint Now);
 
 /**
  * Does the periodic work: closes silent links, opens links to wanted peers and
--- a/packages/core/src/membership/membership_type.h
+++ b/packages/core/src/membership/membership_type.h
@@ -38,18 +38,18 @@
   LinkState State = LinkState::Opening; ///< State of the link.
   Hello Peer;                           ///< The peer's hello; valid when Ready.
   TimePoint LastActivityAt; ///< When a message arrived last, or it was opened.
-  uint64_t SentHeartbeats = 0; ///< Sequence of the last one sent.
-  Digest SentConfigDigest;     ///< In the last heartbeat sent.
-  Digest SentWeights;          ///< In the last heartbeat sent.
+  uint64_t SentHeartbeats = 0;    ///< Sequence of the last one sent.
+  Digest SentConfigDigest;        ///< In the last heartbeat sent.
+  Digest SentWeights;             ///< In the last heartbeat sent.
   uint64_t ReceivedHeartbeat = 0; ///< Sequence of the last one received.
-  ConfigVersion Version;       ///< In force at the peer, as last reported.
-  Digest ConfigDigest;         ///< Digest of that document.
-  TimePoint VersionSince;      ///< When Version was first reported.
-  bool Leaving = false;        ///< The peer last reported that it is leaving.
-  bool Fresh = false;          ///< The peer last reported a fresh view.
-  bool Service = false;        ///< The configuration service answers the peer.
-  bool PushRefused = false;    ///< The peer's document was invalid here.
-  bool Answered = false; ///< It has answered a probe since the last reset.
+  ConfigVersion Version;          ///< In force at the peer, as last reported.
+  Digest ConfigDigest;            ///< Digest of that document.
+  TimePoint VersionSince;         ///< When Version was first reported.
+  bool Leaving = false;     ///< The peer last reported that it is leaving.
+  bool Fresh = false;       ///< The peer last reported a fresh view.
+  bool Service = false;     ///< The configuration service answers the peer.
+  bool PushRefused = false; ///< The peer's document was invalid here.
+  bool Answered = false;    ///< It has answered a probe since the last reset.
   bool LeavingAckRequested = false;  ///< Asked to acknowledge our leaving.
   bool AnsweredFresh = false;        ///< It answered a probe with a fresh view.
   std::optional<TimePoint> ProbedAt; ///< When it was probed last.
@@ -57,7 +57,7 @@
   Digest HeartbeatWeights;           ///< Weights as of the last heartbeat.
   TimePoint LoadAt;                  ///< When Load was reported.
   uint32_t AttemptsSinceLoad = 0; ///< Attempts sent to the peer since LoadAt.
-  TimePoint AvoidUntil;   ///< It lacked capacity and gets no work until then.
+  TimePoint AvoidUntil; ///< It lacked capacity and gets no work until then.
 };
 
 /** A peer that this process keeps a link to. */
--- a/packages/core/src/membership/roster.cpp
+++ b/packages/core/src/membership/roster.cpp
@@ -61,12 +61,13 @@
   return true;
 }
 
-bool handleEntryNotice(Membership &Fleet, const EntryNotice &Seen, TimePoint Now,
-                     Effects &Out) {
+bool handleEntryNotice(Membership &Fleet, const EntryNotice &Seen,
+                       TimePoint Now, Effects &Out) {
   // For a known entry its own hello has precedence over what peers report.
   if (Seen.Name == Fleet.Self.Name || Fleet.Roster.contains(Seen.Name))
     return false;
-  const EntryHost Host{Seen.Name, Seen.Domain, Seen.CallerAddress, Seen.LinkAddress};
+  const EntryHost Host{Seen.Name, Seen.Domain, Seen.CallerAddress,
+                       Seen.LinkAddress};
   Fleet.Roster[Seen.Name] = {Host, Now};
   announceEntry(Fleet, Host, Out);
   return true;
--- a/packages/core/src/membership/roster_func.h
+++ b/packages/core/src/membership/roster_func.h
@@ -47,8 +47,8 @@
  * @param Out Effects are appended.
  * @return True when the entry was unknown.
  */
-bool handleEntryNotice(Membership &Fleet, const EntryNotice &Seen, TimePoint Now,
-                     Effects &Out);
+bool handleEntryNotice(Membership &Fleet, const EntryNotice &Seen,
+                       TimePoint Now, Effects &Out);
 
 /**
  * Removes entries that this process has had no link to for a minute.
--- a/packages/core/src/routing/directory.cpp
+++ b/packages/core/src/routing/directory.cpp
@@ -31,9 +31,9 @@
 } // namespace
 
 std::vector<Address> directoryAddresses(const std::vector<EntryHost> &Alive,
-                                     const Document *Doc,
-                                     const DomainName &Domain,
-                                     const RegionName &Region) {
+                                        const Document *Doc,
+                                        const DomainName &Domain,
+                                        const RegionName &Region) {
   std::vector<Address> Near = addressesIf(
       Alive, [&](const EntryHost &Host) { return Host.Domain == Domain; });
   if (Near.size() >= MinAddresses)
--- a/packages/core/src/routing/directory_func.h
+++ b/packages/core/src/routing/directory_func.h
@@ -22,9 +22,9 @@
  * @return Addresses for callers, 64 at most; empty when no entry is alive.
  */
 std::vector<Address> directoryAddresses(const std::vector<EntryHost> &Alive,
-                                     const Document *Doc,
-                                     const DomainName &Domain,
-                                     const RegionName &Region);
+                                        const Document *Doc,
+                                        const DomainName &Domain,
+                                        const RegionName &Region);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/routing/entry_addresses.cpp
+++ b/packages/core/src/routing/entry_addresses.cpp
@@ -41,7 +41,7 @@
 } // namespace
 
 std::vector<Address> entryAddressesFor(const EntryState &Entry,
-                                  std::string_view Caller) {
+                                       std::string_view Caller) {
   if (!Entry.View.InForce)
     return {};
   std::vector<const EntryHost *> Hosts;
--- a/packages/core/src/routing/entry_addresses_func.h
+++ b/packages/core/src/routing/entry_addresses_func.h
@@ -19,7 +19,7 @@
  * @return At most four addresses, in the order in which to try them.
  */
 std::vector<Address> entryAddressesFor(const EntryState &Entry,
-                                  std::string_view Caller);
+                                       std::string_view Caller);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/routing/retry_budget_func.h
+++ b/packages/core/src/routing/retry_budget_func.h
@@ -29,7 +29,7 @@
  * Credits the budget of a class and workspace for a first attempt.
  * @param Budget State to change.
  * @param Class Class of the call.
- * @param Tenant Workspace of the call.
+ * @param Workspace Workspace of the call.
  * @param Now Current time.
  */
 void creditFirstAttempt(RetryBudget &Budget, const ClassName &Class,
@@ -39,7 +39,7 @@
  * Takes one retry out of the budget of a class and workspace, if it has one.
  * @param Budget State to change.
  * @param Class Class of the call.
- * @param Tenant Workspace of the call.
+ * @param Workspace Workspace of the call.
  * @return True when the retry may be made.
  */
 bool trySpendRetry(RetryBudget &Budget, const ClassName &Class,
--- a/packages/core/src/routing/worker_choice.cpp
+++ b/packages/core/src/routing/worker_choice.cpp
@@ -89,7 +89,8 @@
       continue;
     const PeerLink *Link = readyLink(Entry.Fleet, Host->Name);
     const auto Open = Entry.OpenByWorker.find(Host->Name);
-    Found.push_back({Host->Name, Link->Link, Link->Load, Link->AttemptsSinceLoad,
+    Found.push_back({Host->Name, Link->Link, Link->Load,
+                     Link->AttemptsSinceLoad,
                      Open == Entry.OpenByWorker.end() ? 0 : Open->second,
                      Host->Domain == Entry.Fleet.Self.Domain,
                      Entry.Fleet.LastTick < Link->AvoidUntil});
@@ -111,8 +112,8 @@
   if (Class.Kind != BackEndKind::Model)
     return chooseWorker(Candidates, "", Salt);
   return chooseForPrompt(Candidates, affinityKey(ActiveCall), [&] {
-    return fingerprintOf(ActiveCall.Received.Workspace, ActiveCall.Received.Class,
-                         ActiveCall.Received.Body)
+    return fingerprintOf(ActiveCall.Received.Workspace,
+                         ActiveCall.Received.Class, ActiveCall.Received.Body)
         .Value;
   });
 }
--- a/packages/core/src/settings/settings.cpp
+++ b/packages/core/src/settings/settings.cpp
@@ -61,13 +61,13 @@
   }
   void operator()(int64_t Settings::*Field) const {
     const int64_t Default = std::strtoll(Spec.Default, nullptr, 10);
-    Into.*Field =
-        Reader.readInteger(Spec.Key, Spec.Required, Default, Spec.Min, Spec.Max);
+    Into.*Field = Reader.readInteger(Spec.Key, Spec.Required, Default, Spec.Min,
+                                     Spec.Max);
   }
   void operator()(double Settings::*Field) const {
-    Into.*Field = Reader.readNumber(Spec.Key, std::strtod(Spec.Default, nullptr),
-                              static_cast<double>(Spec.Min),
-                              static_cast<double>(Spec.Max));
+    Into.*Field = Reader.readNumber(
+        Spec.Key, std::strtod(Spec.Default, nullptr),
+        static_cast<double>(Spec.Min), static_cast<double>(Spec.Max));
   }
   void operator()(bool Settings::*Field) const {
     const bool Default = std::string_view(Spec.Default) == "true";
@@ -79,7 +79,7 @@
   void checkTextForm(const std::string &Text) const {
     if (!Text.empty() && !hasForm(Text, Spec.Form))
       Reader.addError(Spec.Key, "\"" + Text + "\"",
-                   std::string(Spec.Unit) + " with an IPv4 number");
+                      std::string(Spec.Unit) + " with an IPv4 number");
   }
 };
 
@@ -94,8 +94,8 @@
     if (Lower == 0 && Upper == 0)
       continue;
     Reader.addError(Rule.LowerKey, std::to_string(Lower),
-                 std::string(Rule.MayEqual ? "at most " : "below ") +
-                     Rule.UpperKey + " (" + std::to_string(Upper) + ")");
+                    std::string(Rule.MayEqual ? "at most " : "below ") +
+                        Rule.UpperKey + " (" + std::to_string(Upper) + ")");
   }
 }
 
@@ -139,14 +139,15 @@
   ValidationErrors Errors;
   ObjectReader Reader(Value, "", Errors);
   for (const std::string &Key : Duplicates)
-    Reader.addError(Key.c_str(), "the key twice", "once, as only one would count");
+    Reader.addError(Key.c_str(), "the key twice",
+                    "once, as only one would count");
   for (const SettingSpec &Spec : SettingsTable)
     if (isReadBy(Spec, Program))
       std::visit(SettingReader{Reader, Spec, Read}, Spec.Field);
   Reader.rejectUnknownKeys();
   if (std::ranges::find(LogLevels, Read.LogLevel) == LogLevels.end())
     Reader.addError("log_level", "\"" + Read.LogLevel + "\"",
-                 "one of debug, info, warn, error");
+                    "one of debug, info, warn, error");
   checkSettingOrders(Read, Reader);
   if (Read.LogTo != "stdout" && Read.LogTo != "stderr")
     Reader.addError("log_to", "\"" + Read.LogTo + "\"", "stdout or stderr");
@@ -155,7 +156,7 @@
   if (Program == SettingOwner::Agent &&
       Read.EngineUrl.empty() == Read.ServiceUrl.empty())
     Reader.addError("engine_url", "both or none of engine_url and service_url",
-                 "one of them");
+                    "one of them");
   if (Errors.Lines.empty())
     return Read;
   for (std::string &Line : Errors.Lines)
--- a/packages/core/src/status/status.cpp
+++ b/packages/core/src/status/status.cpp
@@ -192,8 +192,9 @@
   Status.DocumentConflicts = Entry.View.Conflicts;
   Status.LastRefusal = Entry.View.LastRefusal;
   for (const auto &[Fingerprint, One] : Entry.Suspects.Suspects)
-    Status.Suspects.push_back({Fingerprint, One.Deaths.size(), One.Proven,
-                               refusalTimeLeft(Entry.Suspects, Fingerprint, Now)});
+    Status.Suspects.push_back(
+        {Fingerprint, One.Deaths.size(), One.Proven,
+         refusalTimeLeft(Entry.Suspects, Fingerprint, Now)});
   return Status;
 }
 
--- a/packages/core/src/status/status_type.h
+++ b/packages/core/src/status/status_type.h
@@ -70,7 +70,7 @@
 
 /** One workspace. */
 struct WorkspaceStatus {
-  WorkspaceName Name;           ///< Its name.
+  WorkspaceName Name;        ///< Its name.
   uint32_t OpenRequests = 0; ///< Requests open at this entry.
 };
 
@@ -96,13 +96,13 @@
 
 /** Status of the fleet, as far as one entry sees it and one team may see it. */
 struct FleetStatus {
-  ProcessStatus Self;                   ///< This entry.
-  size_t OpenRequests = 0;              ///< Requests open at this entry.
-  std::vector<DomainStatus> Domains;    ///< Of entries and visible workers.
-  std::vector<ModelStatus> Models;      ///< Models of visible classes.
-  std::vector<ClassStatus> Classes;     ///< Visible classes.
-  std::vector<WorkerStatus> Workers;    ///< Workers of visible classes.
-  std::vector<WorkspaceStatus> Workspaces;    ///< Visible workspaces.
+  ProcessStatus Self;                      ///< This entry.
+  size_t OpenRequests = 0;                 ///< Requests open at this entry.
+  std::vector<DomainStatus> Domains;       ///< Of entries and visible workers.
+  std::vector<ModelStatus> Models;         ///< Models of visible classes.
+  std::vector<ClassStatus> Classes;        ///< Visible classes.
+  std::vector<WorkerStatus> Workers;       ///< Workers of visible classes.
+  std::vector<WorkspaceStatus> Workspaces; ///< Visible workspaces.
   std::vector<ProcessStatus> Processes; ///< All processes; for operators only.
   RefusalStatus Refusals;               ///< For operators only.
 };
--- a/packages/core/src/status/team_access.cpp
+++ b/packages/core/src/status/team_access.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 Result<TeamAccess> authenticateTeam(const Document *Doc,
-                            std::string_view Authorization) {
+                                    std::string_view Authorization) {
   if (Doc == nullptr)
     return fail(ErrorKind::StaleView, "no configuration yet");
   if (!Authorization.starts_with(BearerPrefix) ||
--- a/packages/core/src/status/team_access_func.h
+++ b/packages/core/src/status/team_access_func.h
@@ -20,7 +20,7 @@
  * token.
  */
 Result<TeamAccess> authenticateTeam(const Document *Doc,
-                            std::string_view Authorization);
+                                    std::string_view Authorization);
 
 /**
  * Says whether a team may see a class.
@@ -33,7 +33,7 @@
 /**
  * Says whether a team may see a workspace.
  * @param Access The team's access.
- * @param Tenant Name of the workspace.
+ * @param Workspace Name of the workspace.
  * @return True for its own workspaces, and for operators.
  */
 bool canSeeWorkspace(const TeamAccess &Access, const WorkspaceName &Workspace);
--- a/packages/core/src/status/team_access_type.h
+++ b/packages/core/src/status/team_access_type.h
@@ -12,9 +12,9 @@
 
 /** What the team of a token may see. */
 struct TeamAccess {
-  std::string Team;             ///< Name of the team, for logs.
-  bool Operator = false;        ///< May see everything.
-  std::set<ClassName> Classes;  ///< Classes that it may see.
+  std::string Team;                   ///< Name of the team, for logs.
+  bool Operator = false;              ///< May see everything.
+  std::set<ClassName> Classes;        ///< Classes that it may see.
   std::set<WorkspaceName> Workspaces; ///< Workspaces that it may see.
 };
 
--- a/packages/core/src/weights/rollout.cpp
+++ b/packages/core/src/weights/rollout.cpp
@@ -225,7 +225,8 @@
   if (Agent.Rollout.Set != Weights.Wanted.Set)
     beginRollout(Agent.Rollout, Weights.Wanted.Set);
   const bool Turn = isTurnToLoad(Agent, Now);
-  const bool Near = Agent.Weights.StagedAtEngine && isNearlyComplete(Agent.Transfer);
+  const bool Near =
+      Agent.Weights.StagedAtEngine && isNearlyComplete(Agent.Transfer);
   if (!isWantedSetComplete(Weights) && !Near) {
     // The last chunks do not arrive: serve on rather than drain for nothing.
     Weights.Draining = false;
--- a/packages/core/src/weights/rollout_type.h
+++ b/packages/core/src/weights/rollout_type.h
@@ -12,8 +12,8 @@
 
 /** Observed state of a worker that loads before this one. */
 struct PredecessorView {
-  TimePoint LastAnswered; ///< Last ready link, or start of the wait.
-  uint32_t MaxChunksHeld = 0;  ///< Most chunks of the set that it has held.
+  TimePoint LastAnswered;     ///< Last ready link, or start of the wait.
+  uint32_t MaxChunksHeld = 0; ///< Most chunks of the set that it has held.
   TimePoint LastProgress; ///< Last rise of MaxChunksHeld, or start of the wait.
 };
 
--- a/packages/core/src/weights/transfer.cpp
+++ b/packages/core/src/weights/transfer.cpp
@@ -380,7 +380,8 @@
           : LinkShare * Transfer.Options.LinkBytesPerSecond;
   if (Transfer.Options.LinkBytesPerSecond > 0)
     Transfer.Uplink.BurstSeconds = LinkBurstSeconds;
-  Transfer.CrossDomain.PerSecond = static_cast<double>(Config.AcrossBytesPerSecond);
+  Transfer.CrossDomain.PerSecond =
+      static_cast<double>(Config.AcrossBytesPerSecond);
   Transfer.Random = rendezvousScore("transfer", Config.Name) | 1U;
   return Transfer;
 }
@@ -394,7 +395,8 @@
 }
 
 void updateTransferPlan(TransferState &Transfer, const WeightsState &Weights,
-                  const Document &Doc, const HostName &Self, TimePoint Now) {
+                        const Document &Doc, const HostName &Self,
+                        TimePoint Now) {
   if (Transfer.Plan.Hosts.empty())
     Transfer.LinksSettledAt = Now + SettleTime;
   Transfer.Plan = makeChunkPlan(Doc, Self);
@@ -409,7 +411,7 @@
 }
 
 void addChunkPeer(TransferState &Transfer, LinkId Link, const HostName &Name,
-                    bool SameDomain) {
+                  bool SameDomain) {
   ChunkPeer &Peer = Transfer.Peers[Link];
   Transfer.LostPeers.erase(Name);
   Peer.Name = Name;
@@ -433,8 +435,8 @@
                 [&](const Upload &One) { return One.Link == Link; });
 }
 
-void recordAnnouncement(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
-                    TimePoint Now) {
+void recordAnnouncement(TransferState &Transfer, LinkId Link,
+                        const ChunkHave &Have, TimePoint Now) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
@@ -443,9 +445,10 @@
   countAnnounced(Transfer, it->second, true, Now);
 }
 
-void receiveChunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
-                   const Digest &Chunk, const DigestedChunk &Arrived,
-                   TimePoint Now, Effects &Out) {
+void receiveChunkFromPeer(TransferState &Transfer, WeightsState &Weights,
+                          LinkId Link, const Digest &Chunk,
+                          const DigestedChunk &Arrived, TimePoint Now,
+                          Effects &Out) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
@@ -464,9 +467,9 @@
                    : Transfer.Counters.BytesFromOtherDomains) += Bytes;
 }
 
-std::optional<std::string> receiveChunkPart(TransferState &Transfer, LinkId Link,
-                                        const ChunkData &Data, TimePoint Now,
-                                        Effects &Out) {
+std::optional<std::string> receiveChunkPart(TransferState &Transfer,
+                                            LinkId Link, const ChunkData &Data,
+                                            TimePoint Now, Effects &Out) {
   const auto Peer = Transfer.Peers.find(Link);
   const auto Index = Transfer.IndexOf.find(Data.Chunk);
   if (Data.Bytes.empty())
@@ -494,8 +497,8 @@
 }
 
 void receiveChunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
-                     const Digest &Chunk, const DigestedChunk &Arrived,
-                     TimePoint Now, Effects &Out) {
+                            const Digest &Chunk, const DigestedChunk &Arrived,
+                            TimePoint Now, Effects &Out) {
   if (Transfer.OriginRequests > 0)
     --Transfer.OriginRequests;
   if (acceptChunk(Transfer, Weights, Chunk, Arrived, Now, Out)) {
@@ -507,7 +510,7 @@
 }
 
 void recordStagedChunk(TransferState &Transfer, WeightsState &Weights,
-                 const ChunkRef &Chunk, bool Staged, TimePoint Now) {
+                       const ChunkRef &Chunk, bool Staged, TimePoint Now) {
   const auto it = Transfer.IndexOf.find(Chunk.Content);
   // The wanted version may have changed since then.
   if (it == Transfer.IndexOf.end() || Transfer.Version.Model != Chunk.Model ||
@@ -519,7 +522,7 @@
 }
 
 void dropDamagedChunk(TransferState &Transfer, WeightsState &Weights,
-                 const Digest &Chunk) {
+                      const Digest &Chunk) {
   const auto it = Transfer.IndexOf.find(Chunk);
   if (it == Transfer.IndexOf.end() || Weights.Held.erase(Chunk) == 0)
     return;
@@ -537,7 +540,7 @@
 }
 
 void advanceTransfer(TransferState &Transfer, const WeightsState &Weights,
-                TimePoint Now, Effects &Out) {
+                     TimePoint Now, Effects &Out) {
   measureRate(Transfer, Now);
   announceChunks(Transfer, Now, Out);
   sendUploads(Transfer, Weights, Now, Out);
--- a/packages/core/src/weights/transfer_func.h
+++ b/packages/core/src/weights/transfer_func.h
@@ -35,7 +35,8 @@
  * @param Now Current time.
  */
 void updateTransferPlan(TransferState &Transfer, const WeightsState &Weights,
-                  const Document &Doc, const HostName &Self, TimePoint Now);
+                        const Document &Doc, const HostName &Self,
+                        TimePoint Now);
 
 /**
  * Adds an agent whose link is ready to the peers.
@@ -45,7 +46,7 @@
  * @param SameDomain Whether it is in this host's domain.
  */
 void addChunkPeer(TransferState &Transfer, LinkId Link, const HostName &Name,
-                    bool SameDomain);
+                  bool SameDomain);
 
 /**
  * Removes a peer whose link was lost, and cancels the requests to it and from
@@ -63,8 +64,8 @@
  * @param Have The announcement.
  * @param Now Current time.
  */
-void recordAnnouncement(TransferState &Transfer, LinkId Link, const ChunkHave &Have,
-                    TimePoint Now);
+void recordAnnouncement(TransferState &Transfer, LinkId Link,
+                        const ChunkHave &Have, TimePoint Now);
 
 /**
  * Handles the answer of a peer to a request for a chunk. A chunk with the right
@@ -78,9 +79,10 @@
  * @param Now Current time.
  * @param Out Effects are appended.
  */
-void receiveChunkFromPeer(TransferState &Transfer, WeightsState &Weights, LinkId Link,
-                   const Digest &Chunk, const DigestedChunk &Arrived,
-                   TimePoint Now, Effects &Out);
+void receiveChunkFromPeer(TransferState &Transfer, WeightsState &Weights,
+                          LinkId Link, const Digest &Chunk,
+                          const DigestedChunk &Arrived, TimePoint Now,
+                          Effects &Out);
 
 /**
  * Handles the answer of the origin to a request for a chunk. A chunk with the
@@ -94,8 +96,8 @@
  * @param Out Effects are appended.
  */
 void receiveChunkFromOrigin(TransferState &Transfer, WeightsState &Weights,
-                     const Digest &Chunk, const DigestedChunk &Arrived,
-                     TimePoint Now, Effects &Out);
+                            const Digest &Chunk, const DigestedChunk &Arrived,
+                            TimePoint Now, Effects &Out);
 
 /**
  * Requests missing chunks, announces held ones and sends the chunks that the
@@ -106,7 +108,7 @@
  * @param Out Effects are appended.
  */
 void advanceTransfer(TransferState &Transfer, const WeightsState &Weights,
-                TimePoint Now, Effects &Out);
+                     TimePoint Now, Effects &Out);
 
 /**
  * Adds a part of a chunk from a peer, and requests the next one.
@@ -118,9 +120,9 @@
  * @return The whole chunk, not verified, once its last part is received; an
  * empty string when the peer does not hold it; nothing otherwise.
  */
-std::optional<std::string> receiveChunkPart(TransferState &Transfer, LinkId Link,
-                                        const ChunkData &Data, TimePoint Now,
-                                        Effects &Out);
+std::optional<std::string> receiveChunkPart(TransferState &Transfer,
+                                            LinkId Link, const ChunkData &Data,
+                                            TimePoint Now, Effects &Out);
 
 /**
  * Records that a chunk was staged at the engine or found there, or that staging
@@ -132,7 +134,7 @@
  * @param Now Current time.
  */
 void recordStagedChunk(TransferState &Transfer, WeightsState &Weights,
-                 const ChunkRef &Chunk, bool Staged, TimePoint Now);
+                       const ChunkRef &Chunk, bool Staged, TimePoint Now);
 
 /**
  * Drops a chunk whose staged copy is damaged, so that it is fetched again.
@@ -141,7 +143,7 @@
  * @param Chunk The chunk.
  */
 void dropDamagedChunk(TransferState &Transfer, WeightsState &Weights,
-                 const Digest &Chunk);
+                      const Digest &Chunk);
 
 /**
  * Lists the missing chunks of the wanted set.
--- a/packages/core/src/weights/transfer_type.h
+++ b/packages/core/src/weights/transfer_type.h
@@ -49,7 +49,7 @@
 struct ChunkPeer {
   HostName Name;              ///< Published name.
   bool SameDomain = true;     ///< In this host's failure domain.
-  ChunkHave Announced;             ///< Its latest announcement of chunks.
+  ChunkHave Announced;        ///< Its latest announcement of chunks.
   std::set<size_t> Requested; ///< Chunks requested from it, not received yet.
   TimePoint LastData;    ///< Last data from it, or first of the open requests.
   Duration ChunkTime{0}; ///< Average time of its chunks; 0: unknown.
@@ -84,13 +84,13 @@
 
 /** Counters of the exchange. */
 struct TransferCounters {
-  uint64_t BytesFromOrigin = 0; ///< Valid chunks from the origin.
-  uint64_t BytesFromPeers = 0;  ///< Valid chunks from this domain.
-  uint64_t BytesFromOtherDomains = 0;     ///< Valid chunks from other domains.
-  uint64_t BytesSent = 0;       ///< Chunks sent to peers.
-  uint64_t BadChunks = 0;       ///< Chunks with a wrong digest.
-  uint64_t Repeated = 0;        ///< Received chunks that were already held.
-  uint64_t Stalls = 0; ///< Times that a peer with open requests stalled.
+  uint64_t BytesFromOrigin = 0;       ///< Valid chunks from the origin.
+  uint64_t BytesFromPeers = 0;        ///< Valid chunks from this domain.
+  uint64_t BytesFromOtherDomains = 0; ///< Valid chunks from other domains.
+  uint64_t BytesSent = 0;             ///< Chunks sent to peers.
+  uint64_t BadChunks = 0;             ///< Chunks with a wrong digest.
+  uint64_t Repeated = 0; ///< Received chunks that were already held.
+  uint64_t Stalls = 0;   ///< Times that a peer with open requests stalled.
 };
 
 /** State of the exchange of the chunks of the wanted set. */
@@ -114,14 +114,14 @@
   size_t OriginRequests = 0;               ///< Open requests to the origin.
   std::deque<Upload> Uploads; ///< Requests of peers, in order of arrival.
   RateLimit Uplink;           ///< Limit for all chunks sent.
-  RateLimit CrossDomain;           ///< Limit for chunks sent to other domains.
+  RateLimit CrossDomain;      ///< Limit for chunks sent to other domains.
   std::map<HostName, TimePoint> LostPeers; ///< When links to agents were lost.
   std::set<size_t> SubstitutedHosts; ///< Hosts whose origin chunks this host
                                      ///< took over, by position in the plan.
-  TimePoint LinksSettledAt; ///< When links should be up after the start.
-  TimePoint AvailabilityChangedAt;     ///< Last time that a chunk was first seen, or that
-                            ///< the origin failed.
-  TimePoint AnnouncedAt;    ///< Last announcement to all peers.
+  TimePoint LinksSettledAt;        ///< When links should be up after the start.
+  TimePoint AvailabilityChangedAt; ///< Last time that a chunk was first seen,
+                                   ///< or that the origin failed.
+  TimePoint AnnouncedAt;        ///< Last announcement to all peers.
   bool AnnouncementDue = false; ///< There are changes to announce.
   uint64_t Random = 1;          ///< State of the generator that breaks ties.
   TimePoint RateWindowStart;    ///< Start of the window for measuring the rate.
--- a/packages/core/src/weights/upload.cpp
+++ b/packages/core/src/weights/upload.cpp
@@ -70,7 +70,7 @@
   Transfer.Counters.BytesSent += Bytes;
   if (Staged)
     Out.push_back(SendStagedChunk{One.Link, stagedRef(Transfer, One.Chunk),
-                             One.Offset, One.Length});
+                                  One.Offset, One.Length});
   else
     Out.push_back(SendMessage{One.Link, std::move(Data)});
 }
@@ -78,7 +78,7 @@
 } // namespace
 
 void queueUpload(TransferState &Transfer, const WeightsState &Weights,
-                    LinkId Link, const ChunkRequest &Request, Effects &Out) {
+                 LinkId Link, const ChunkRequest &Request, Effects &Out) {
   const auto it = Transfer.Peers.find(Link);
   if (it == Transfer.Peers.end())
     return;
@@ -94,7 +94,7 @@
 }
 
 void copyChunkPart(const std::string &Whole, uint64_t Offset, uint64_t Length,
-              ChunkData &Into) {
+                   ChunkData &Into) {
   Into.Offset = std::min<uint64_t>(Offset, Whole.size());
   Into.Total = Whole.size();
   Into.Bytes =
@@ -102,7 +102,7 @@
 }
 
 void sendUploads(TransferState &Transfer, const WeightsState &Weights,
-                  TimePoint Now, Effects &Out) {
+                 TimePoint Now, Effects &Out) {
   while (isWithinRate(Transfer.Uplink, Now) &&
          totalBacklog(Transfer) <= MaxTotalBacklogBytes) {
     const auto it =
--- a/packages/core/src/weights/upload_func.h
+++ b/packages/core/src/weights/upload_func.h
@@ -17,7 +17,7 @@
  * @param Out Effects are appended.
  */
 void queueUpload(TransferState &Transfer, const WeightsState &Weights,
-                    LinkId Link, const ChunkRequest &Request, Effects &Out);
+                 LinkId Link, const ChunkRequest &Request, Effects &Out);
 
 /**
  * Sends requested chunks to peers, as far as the rate limits and the backlogs
@@ -28,7 +28,7 @@
  * @param Out Effects are appended.
  */
 void sendUploads(TransferState &Transfer, const WeightsState &Weights,
-                  TimePoint Now, Effects &Out);
+                 TimePoint Now, Effects &Out);
 
 /**
  * Copies a part of a chunk into an answer.
@@ -38,7 +38,7 @@
  * @param Into Answer whose bytes, offset and total are set.
  */
 void copyChunkPart(const std::string &Whole, uint64_t Offset, uint64_t Length,
-              ChunkData &Into);
+                   ChunkData &Into);
 
 } // namespace jacinthpond
 
--- a/packages/core/src/weights/weights.cpp
+++ b/packages/core/src/weights/weights.cpp
@@ -46,7 +46,8 @@
          Now - *Weights.OutdatedSince >= ReplacedSetTime;
 }
 
-void recordNewestSet(WeightsState &Weights, const Digest &Set, TimePoint Since) {
+void recordNewestSet(WeightsState &Weights, const Digest &Set,
+                     TimePoint Since) {
   if (Weights.Newest == Set)
     return;
   if (!Weights.Newest.Value.empty())
--- a/packages/core/src/weights/weights_type.h
+++ b/packages/core/src/weights/weights_type.h
@@ -21,7 +21,8 @@
   std::vector<Digest> PreviousChunks; ///< Chunks of the previously wanted set.
   std::map<Digest, ChunkBytes> Held;  ///< Verified chunks of these two sets;
                                       ///< null if staged at the engine.
-  bool StagedAtEngine = false; ///< Chunks are staged at the engine, not kept here.
+  bool StagedAtEngine =
+      false;             ///< Chunks are staged at the engine, not kept here.
   Digest Loaded;         ///< Set that the engine last reported as loaded.
   Digest Newest;         ///< Set in the newest configuration document.
   TimePoint NewestSince; ///< Earliest time at which it can have been published.
@@ -31,10 +32,10 @@
   bool Draining = false; ///< Takes no new work until the wanted set is loaded.
   bool Loading = false;  ///< A load was ordered and not read back yet.
   bool EngineBusy = false;        ///< The engine is executing an order.
-  uint64_t OrdersSent = 0;       ///< Load orders sent.
+  uint64_t OrdersSent = 0;        ///< Load orders sent.
   uint64_t OrdersEnded = 0;       ///< Load orders that succeeded or failed.
   std::set<Digest> PublishedSets; ///< Published sets, hence complete.
-  Digest OrderedSet;                 ///< Set of the last load order.
+  Digest OrderedSet;              ///< Set of the last load order.
   std::string OrderedRun;         ///< Incarnation of the engine at that time.
   std::set<Digest> Unconfirmed; ///< Sets that this incarnation may have loaded
                                 ///< from chunks other than the verified ones.
--- a/packages/core/src/wire/message_type.h
+++ b/packages/core/src/wire/message_type.h
@@ -40,8 +40,8 @@
   ConfigVersion Version; ///< Configuration in force at the sender.
   Digest ConfigDigest;   ///< Digest of that document.
   bool Fresh = false;    ///< The sender's view is fresh; see join_type.h.
-  Address LinkAddress;            ///< Address that accepts links; empty: not given.
-  Address CallerAddress;       ///< Address for callers; set by entries only.
+  Address LinkAddress;   ///< Address that accepts links; empty: not given.
+  Address CallerAddress; ///< Address for callers; set by entries only.
 };
 
 /** Load and state of one back end, reported by its agent. */
@@ -66,13 +66,14 @@
 
 /** Sent by both sides of each link at a fixed period. */
 struct Heartbeat {
-  uint64_t Sequence = 0;    ///< Increases by one with each heartbeat of a link.
-  Incarnation Run;          ///< Incarnation of the sender.
-  ConfigVersion Version;    ///< Configuration in force at the sender.
-  Digest ConfigDigest;      ///< Digest of that document.
-  bool Leaving = false;     ///< The sender takes no new requests.
-  bool Fresh = false;       ///< The sender's view is fresh; see join_type.h.
-  bool ReachesConfigService = false;     ///< The sender reaches the configuration service.
+  uint64_t Sequence = 0; ///< Increases by one with each heartbeat of a link.
+  Incarnation Run;       ///< Incarnation of the sender.
+  ConfigVersion Version; ///< Configuration in force at the sender.
+  Digest ConfigDigest;   ///< Digest of that document.
+  bool Leaving = false;  ///< The sender takes no new requests.
+  bool Fresh = false;    ///< The sender's view is fresh; see join_type.h.
+  bool ReachesConfigService =
+      false;                ///< The sender reaches the configuration service.
   bool SameDigests = false; ///< Digests are omitted: same as in the last one.
   WorkerLoad Load;          ///< Set by agents only.
 };
@@ -80,7 +81,7 @@
 /** Requests a peer's configuration document. */
 struct ConfigPull {
   ConfigVersion HeldVersion; ///< Version in force at the sender.
-  bool Probe = false; ///< Only checks whether the peer's view is fresh.
+  bool Probe = false;        ///< Only checks whether the peer's view is fresh.
 };
 
 /** Answer to ConfigPull. */
@@ -94,14 +95,14 @@
   AttemptId Attempt;            ///< Globally unique; never reused.
   RequestId Request;            ///< Correlates log lines across hosts.
   ClassName Class;              ///< Class of the request.
-  WorkspaceName Workspace;            ///< Workspace that the request belongs to.
+  WorkspaceName Workspace;      ///< Workspace that the request belongs to.
   std::string Body;             ///< Request body, unchanged.
   uint64_t RemainingMillis = 0; ///< Time left until the deadline when sent.
   IdempotencyKey Key;           ///< Idempotency key; empty: safe to repeat.
   std::string Token;            ///< Home token of the key; may be empty.
   Digest ResumeOn;              ///< Weights required to resume; empty: any.
-  uint64_t ResumeFrom = 0; ///< Frames that the caller has received already.
-  bool MustRunAlone = false;      ///< Must run alone, as it may crash the back end.
+  uint64_t ResumeFrom = 0;   ///< Frames that the caller has received already.
+  bool MustRunAlone = false; ///< Must run alone, as it may crash the back end.
 };
 
 /** Load of a back end, sent with each answer to be newer than heartbeats. */
@@ -155,7 +156,12 @@
 };
 
 /** State of an attempt according to its agent. */
-enum class KnownAttemptState : uint8_t { NeverSeen, Waiting, Running, Finished };
+enum class KnownAttemptState : uint8_t {
+  NeverSeen,
+  Waiting,
+  Running,
+  Finished
+};
 
 /**
  * Answer to AttemptQuery. The agent then resends the frames that the entry has
@@ -163,8 +169,9 @@
  * NeverSeen the agent never runs the attempt.
  */
 struct AttemptStatus {
-  AttemptId Attempt;                            ///< The attempt.
-  KnownAttemptState Known = KnownAttemptState::NeverSeen; ///< State of the attempt.
+  AttemptId Attempt; ///< The attempt.
+  KnownAttemptState Known =
+      KnownAttemptState::NeverSeen; ///< State of the attempt.
   Incarnation Run; ///< Incarnation of the agent; 0: its records of ended
                    ///< attempts are incomplete, so NeverSeen may be wrong.
 };
@@ -211,7 +218,7 @@
   Digest Fingerprint;     ///< Digest of workspace, class and body.
   std::string DeathId;    ///< Identifies the crash, so that it counts once.
   uint64_t AgeMillis = 0; ///< Time since the crash.
-  bool WasAlone = false;     ///< The request ran alone, so it caused the crash.
+  bool WasAlone = false;  ///< The request ran alone, so it caused the crash.
   bool Cleared = false;   ///< It has completed since: discard its crashes.
 };
 
@@ -228,10 +235,10 @@
  * seed peers.
  */
 struct EntryNotice {
-  HostName Name;     ///< Name of the entry.
-  DomainName Domain; ///< Failure domain of the entry.
-  Address LinkAddress;        ///< Address that accepts links.
-  Address CallerAddress;   ///< Address for callers.
+  HostName Name;         ///< Name of the entry.
+  DomainName Domain;     ///< Failure domain of the entry.
+  Address LinkAddress;   ///< Address that accepts links.
+  Address CallerAddress; ///< Address for callers.
 };
 
 /**
@@ -239,9 +246,9 @@
  * then sends to the back end itself.
  */
 struct SlotRequest {
-  AttemptId SlotId;         ///< Globally unique; never reused.
+  AttemptId SlotId;        ///< Globally unique; never reused.
   RequestId Request;       ///< Correlates log lines across hosts.
-  WorkspaceName Workspace;       ///< Workspace that the request belongs to.
+  WorkspaceName Workspace; ///< Workspace that the request belongs to.
   uint32_t Rank = 0;       ///< Priority; 0 is the highest.
   uint64_t WaitMillis = 0; ///< Maximum wait for the slot.
   /** Time until the first part of the answer is due; 0: no limit. The agent
@@ -256,18 +263,18 @@
 
 /** Answer to SlotRequest, sent at once or after waiting in the queue. */
 struct SlotAnswer {
-  AttemptId SlotId;                     ///< Slot from the request.
-  bool Granted = false;                  ///< The request may be sent now.
+  AttemptId SlotId;                    ///< Slot from the request.
+  bool Granted = false;                ///< The request may be sent now.
   ErrorKind Why = ErrorKind::Internal; ///< Reason of a refusal.
   uint64_t RetryAfterMillis = 0;       ///< Time until a slot may be free.
-  uint32_t PrefillBacklogMillis = 0;          ///< Prefill backlog of the back end.
+  uint32_t PrefillBacklogMillis = 0;   ///< Prefill backlog of the back end.
   LoadReport Load{};                   ///< Load of the back end.
 };
 
 /** Releases a slot, or withdraws the request for one. */
 struct SlotRelease {
-  AttemptId SlotId;              ///< Slot from the request.
-  bool IsComplete = false;           ///< The answer is complete.
+  AttemptId SlotId;             ///< Slot from the request.
+  bool IsComplete = false;      ///< The answer is complete.
   bool Sent = false;            ///< The request reached the back end.
   uint64_t FirstPartMillis = 0; ///< Time from the grant to the first part of
                                 ///< the answer; 0: not known.
@@ -278,7 +285,7 @@
  * the back end or to other entries.
  */
 struct RateLimitNotice {
-  AttemptId SlotId;                 ///< Slot of the request; may be empty.
+  AttemptId SlotId;                ///< Slot of the request; may be empty.
   InstanceId Server;               ///< Back end that the limit applies to.
   std::optional<double> PerSecond; ///< Requests/s; nullopt: none was stated.
   uint64_t AgeMillis = 0; ///< Time since the answer arrived; without a limit:
@@ -300,9 +307,9 @@
     std::variant<Hello, Heartbeat, ConfigPull, ConfigPush, AttemptStart,
                  AttemptStarted, AnswerFrame, AnswerEnd, AttemptFailed,
                  AttemptCancel, AttemptQuery, AttemptStatus, ChunkRequest,
-                 ChunkData, ChunkHave, SuspectNotice, LeavingNotice, EntryNotice,
-                 SlotRequest, SlotAnswer, SlotRelease, ChunkListNotice, Ping, Pong,
-                 RateLimitNotice>;
+                 ChunkData, ChunkHave, SuspectNotice, LeavingNotice,
+                 EntryNotice, SlotRequest, SlotAnswer, SlotRelease,
+                 ChunkListNotice, Ping, Pong, RateLimitNotice>;
 
 } // namespace jacinthpond
 
--- a/packages/entry/src/admin_api.cpp
+++ b/packages/entry/src/admin_api.cpp
@@ -134,25 +134,25 @@
   const char *Path = "/v1/check";
   Server->Post(
       Path,
-      requireAccess(
-          Path, true, [this](const TeamAccess &, const auto &Req, auto &Res) {
-            const auto Candidate =
-                outcomeOf([&] { return parseDocument(Req.body); });
-            if (!Candidate.Value) {
-              writeError(Res, Candidate.Why, Ran::No, {});
-              return;
-            }
-            const DocumentPtr InForce = Shell.document();
-            sendJson(Res,
-                     changeJson(compareDocuments(InForce.get(), **Candidate.Value)));
-          }));
+      requireAccess(Path, true,
+                    [this](const TeamAccess &, const auto &Req, auto &Res) {
+                      const auto Candidate =
+                          outcomeOf([&] { return parseDocument(Req.body); });
+                      if (!Candidate.Value) {
+                        writeError(Res, Candidate.Why, Ran::No, {});
+                        return;
+                      }
+                      const DocumentPtr InForce = Shell.document();
+                      sendJson(Res, changeJson(compareDocuments(
+                                        InForce.get(), **Candidate.Value)));
+                    }));
 }
 
 Result<TeamAccess> AdminApi::authorizeRequest(const httplib::Request &Req,
                                               bool OperatorsOnly) {
   const DocumentPtr Doc = Shell.document();
-  BOOST_LEAF_AUTO(Access,
-                  authenticateTeam(Doc.get(), Req.get_header_value("Authorization")));
+  BOOST_LEAF_AUTO(Access, authenticateTeam(Doc.get(), Req.get_header_value(
+                                                          "Authorization")));
   if (OperatorsOnly && !Access.Operator)
     return fail(ErrorKind::Forbidden, "for operators");
   return narrowAccess(std::move(Access), Req);
--- a/packages/entry/src/caller_api.cpp
+++ b/packages/entry/src/caller_api.cpp
@@ -117,8 +117,8 @@
           },
           [&](const CallError &e) {
             Final = true;
-            return formatSseEvent(
-                "error", errorBody(e.Why, e.Executed, Request, e.AlternativeEntries));
+            return formatSseEvent("error", errorBody(e.Why, e.Executed, Request,
+                                                     e.AlternativeEntries));
           }},
       Event);
 }
@@ -140,10 +140,11 @@
                             logOutcome(LogLevel::Debug, "answered");
                           },
                           [this](const CallError &e) {
-                            logOutcome(LogLevel::Info,
-                                       std::string(errorAnswerFor(e.Why.Kind).Name) +
-                                           ", ran " +
-                                           std::string(ranName(e.Executed)));
+                            logOutcome(
+                                LogLevel::Info,
+                                std::string(errorAnswerFor(e.Why.Kind).Name) +
+                                    ", ran " +
+                                    std::string(ranName(e.Executed)));
                           }},
                Event);
   }
--- a/packages/entry/src/entry_shell.cpp
+++ b/packages/entry/src/entry_shell.cpp
@@ -144,7 +144,8 @@
 void EntryShell::updateForwarder(TimePoint Now) {
   if (Routes == nullptr)
     return;
-  std::vector<AgentReport> Reports = collectAgentReports(State, LastAgentReports);
+  std::vector<AgentReport> Reports =
+      collectAgentReports(State, LastAgentReports);
   if (!Reports.empty())
     Routes->handleAgentReports(std::move(Reports));
   FleetSnapshot Fleet = fleetSnapshot(State, Now);
@@ -251,8 +252,7 @@
 void EntryShell::finishCall(CallId Id, bool Finished) {
   Callers.close(Id);
   if (!Finished)
-    post(
-        [this, Id](TimePoint, Effects &Out) { cancelCall(State, Id, Out); });
+    post([this, Id](TimePoint, Effects &Out) { cancelCall(State, Id, Out); });
 }
 
 void EntryShell::inspect(
--- a/packages/entry/src/entry_shell.h
+++ b/packages/entry/src/entry_shell.h
@@ -147,10 +147,10 @@
   EntryState State; ///< Used by the control thread only.
   ConfigPort &Service;
   HostsPort *Hosts;
-  Forwarder *Routes;         ///< Null where no routes are served.
-  FleetSnapshot LastFleet;   ///< Last snapshot passed to Routes.
+  Forwarder *Routes;                   ///< Null where no routes are served.
+  FleetSnapshot LastFleet;             ///< Last snapshot passed to Routes.
   PassedAgentReports LastAgentReports; ///< Last reports passed to Routes.
-  CallTable Callers;         ///< Channels of open calls.
+  CallTable Callers;                   ///< Channels of open calls.
   TrafficMetrics Timings;
   std::mutex SharedDocumentGuard;   ///< Guards SharedDocument.
   DocumentPtr SharedDocument;       ///< Document in force, for other threads.
--- a/packages/entry/src/forward/exchange.cpp
+++ b/packages/entry/src/forward/exchange.cpp
@@ -131,8 +131,8 @@
   Needs.Service = chooseTarget(*RequestRoute, Id);
   Needs.MatchedRoute = RequestRoute;
   Needs.Owner = Owner;
-  if (const auto Last =
-          parseNumber(fieldValue(Incoming, Shared.Wire.headerNames().LastEventId)))
+  if (const auto Last = parseNumber(
+          fieldValue(Incoming, Shared.Wire.headerNames().LastEventId)))
     Events.LastId = static_cast<uint64_t>(*Last);
   armTimer();
   countFirstAttempt(Shared.Repeats, Needs.Service, ArrivalTime);
@@ -312,7 +312,7 @@
     return;
   Call.reset();
   recordAttemptEnd(Shared.Pool, ServerId, WasSent ? How : AttemptEnd::NotSent,
-                Now - CallStartTime, Now);
+                   Now - CallStartTime, Now);
 }
 
 /** Ends a request that no back end can take: refused, or with an unknown
@@ -320,9 +320,9 @@
 void Exchange::endWithoutServer(Failure Why, const char *Reason) {
   if (!MayHaveRun) {
     if (Why.Kind == ErrorKind::Overloaded)
-      Why.RetryAfter = std::max(
-          retryAfter(Why),
-          toMillis(recognizableRetryDelay(Shared.CallerDeadlines, *RequestRoute)));
+      Why.RetryAfter = std::max(retryAfter(Why),
+                                toMillis(recognizableRetryDelay(
+                                    Shared.CallerDeadlines, *RequestRoute)));
     endWithError(Why, Ran::No, Reason);
     return;
   }
--- a/packages/entry/src/forward/exchange.h
+++ b/packages/entry/src/forward/exchange.h
@@ -109,7 +109,7 @@
   std::string Id;  ///< Id that the caller gave the request; for logs too.
   DocumentPtr Doc; ///< In force when the route was matched; owns RequestRoute.
   const Route *RequestRoute = nullptr; ///< Matched route; null: none yet.
-  const Workspace *Owner = nullptr;       ///< Workspace of the caller; null: none.
+  const Workspace *Owner = nullptr;    ///< Workspace of the caller; null: none.
   ServerNeeds Needs;
   TimePoint ArrivalTime;
   Duration CallerAge{0};      ///< Time the caller had tried before arrival.
@@ -130,7 +130,7 @@
   LinkId SlotAgentLink;         ///< Link to the agent that grants the slot.
   bool AwaitingSlot = false;    ///< The agent has not answered yet.
   TimePoint SlotAnswerDeadline; ///< Another back end is tried after this.
-  SlotSearch Search;           ///< State of the search for an idle back end.
+  SlotSearch Search;            ///< State of the search for an idle back end.
   Millis ShortestRetryAfter{0}; ///< Shortest retry time from agents; 0: none.
   uint32_t AttemptsSent = 0;    ///< Attempts that reached a back end.
   uint32_t AttemptsStarted = 0; ///< Attempts, failed connections included.
--- a/packages/entry/src/forward/exchange_answer.cpp
+++ b/packages/entry/src/forward/exchange_answer.cpp
@@ -61,7 +61,7 @@
     return;
   const Millis Age = PerSecond ? Millis(0) : toMillis(Now - CallStartTime);
   const RateLimitNotice Notice{CurrentSlot, ServerId, PerSecond,
-                         static_cast<uint64_t>(Age.count())};
+                               static_cast<uint64_t>(Age.count())};
   if (hasAgent(it->second))
     Shared.SendToAgent(it->second.Agent->Link, Notice);
   else if (Change != RateChange::None)
@@ -74,7 +74,8 @@
   const HeaderNames &Names = Shared.Wire.headerNames();
   LastProgress = Now;
   recordServerActivity(Shared.Pool, ServerId, Now);
-  if (const auto Busy = Shared.Wire.parseServerLoad(fieldValue(Received, Names.Load)))
+  if (const auto Busy =
+          Shared.Wire.parseServerLoad(fieldValue(Received, Names.Load)))
     recordServerLoad(Shared.Pool, ServerId, *Busy, Now);
   const unsigned Status = Received.result_int();
   const bool Misdirected = Status == 421; // Another run may have the address.
@@ -140,7 +141,8 @@
   HeadSent = true;
   Needs.Weights = loadedWeights(Shared.Pool, ServerId);
   FirstByteTime = Shared.Clock.now();
-  recordFirstPartTime(Shared.Pool, Needs.Service, *FirstByteTime - CallStartTime);
+  recordFirstPartTime(Shared.Pool, Needs.Service,
+                      *FirstByteTime - CallStartTime);
   CallerAnswerHead Out;
   Out.result(Head.result());
   copyAnswerHeaders(Head, Out);
@@ -209,7 +211,8 @@
   ServerNeeds Other = Needs;
   Other.Tried.insert(ServerId);
   return chooseServer(Shared.Pool, Other, Now).Server != nullptr &&
-         hasRepeatsLeft(Shared.Repeats, Needs.Service, Shared.Pool.Entries, Now);
+         hasRepeatsLeft(Shared.Repeats, Needs.Service, Shared.Pool.Entries,
+                        Now);
 }
 
 /** Cancels the call, since its response is unusable or has stalled. */
--- a/packages/entry/src/forward/exchange_log.cpp
+++ b/packages/entry/src/forward/exchange_log.cpp
@@ -57,8 +57,8 @@
               " n=" + std::to_string(AttemptsSent + 1) + " server=" +
               Server.Listed.Id.Value + " at=" + Server.Listed.At.Value +
               " open=" + std::to_string(Server.Open) +
-              " others=" + std::to_string(Server.OtherRequests) +
-              " told_ms=" + millisSince(Server.LoadReportedAt, Now) + " left_ms=" +
+              " others=" + std::to_string(Server.OtherRequests) + " told_ms=" +
+              millisSince(Server.LoadReportedAt, Now) + " left_ms=" +
               std::to_string(toMillis(RequestDeadline - Now).count()) +
               " caller_age_ms=" + std::to_string(toMillis(CallerAge).count()) +
               " candidates=" + std::to_string(Choice.Candidates) +
@@ -80,12 +80,13 @@
     return;
   Shared.Counters.add(ForwardCount::RateChanges);
   const auto it = Shared.Pool.Servers.find(ServerId);
-  logLine(
-      LogPart::Requests, LogLevel::Info,
-      "event=rate_limit id=" + logValue(Id) + " server=" + ServerId.Value +
-          " per_second=" +
-          (it == Shared.Pool.Servers.end() ? "-" : formatRateLimit(it->second.Rate)) +
-          " field=" + logValue(Header));
+  logLine(LogPart::Requests, LogLevel::Info,
+          "event=rate_limit id=" + logValue(Id) + " server=" + ServerId.Value +
+              " per_second=" +
+              (it == Shared.Pool.Servers.end()
+                   ? "-"
+                   : formatRateLimit(it->second.Rate)) +
+              " field=" + logValue(Header));
 }
 
 /** Logs an attempt that got no usable response. */
@@ -100,8 +101,8 @@
           std::string(AttemptEndWords.at(static_cast<size_t>(How))) +
           " status=" +
           std::to_string(Mode == AnswerMode::Waiting ? 0 : Head.result_int()) +
-          " ms=" + std::to_string(toMillis(Took).count()) +
-          " heard_ms=" + millisSince(lastActivityTime(Shared.Pool, ServerId), Now) +
+          " ms=" + std::to_string(toMillis(Took).count()) + " heard_ms=" +
+          millisSince(lastActivityTime(Shared.Pool, ServerId), Now) +
           " unanswered_ms=" +
           (UnresponsiveFrom ? millisSince(*UnresponsiveFrom, Now)
                             : std::string("-")) +
--- a/packages/entry/src/forward/exchange_place.cpp
+++ b/packages/entry/src/forward/exchange_place.cpp
@@ -55,7 +55,8 @@
   Ask.PromptTokens = Shared.Wire.parsePromptTokens(
       fieldValue(Incoming, Shared.Wire.headerNames().TokenCounts));
   const Millis MaxBacklogToRequest = maxPrefillBacklog(Search);
-  Ask.MaxPrefillBacklogMillis = static_cast<uint32_t>(MaxBacklogToRequest.count());
+  Ask.MaxPrefillBacklogMillis =
+      static_cast<uint32_t>(MaxBacklogToRequest.count());
   recordSlotRequest(Search);
   SlotAnswerDeadline =
       Now + std::clamp(RequestRoute->Target / AgentAnswerFraction,
@@ -84,7 +85,8 @@
     return;
   AwaitingSlot = false;
   recordServerLoad(Shared.Pool, ServerId, Answer.Load.Busy, Now);
-  recordPrefillBacklog(Shared.Pool, ServerId, Millis(Answer.PrefillBacklogMillis));
+  recordPrefillBacklog(Shared.Pool, ServerId,
+                       Millis(Answer.PrefillBacklogMillis));
   if (Answer.Granted && mayStillUse(Shared.Pool, ServerId, Needs, Now)) {
     sendTo(Shared.Pool.Servers.at(ServerId));
     return;
@@ -114,7 +116,7 @@
 void Exchange::tryOtherServer(bool OnlyBusy) {
   releaseSlot(AttemptEnd::Dropped);
   recordAttemptEnd(Shared.Pool, ServerId, AttemptEnd::NotSent, {},
-                Shared.Clock.now());
+                   Shared.Clock.now());
   recordSlotRefusal(Search, Needs, ServerId, OnlyBusy);
   tryNextServer();
 }
--- a/packages/entry/src/forward/forward_context.h
+++ b/packages/entry/src/forward/forward_context.h
@@ -55,7 +55,7 @@
   BackEndConnectionPool Connections; ///< Idle connections to back ends.
   ServerPool Pool;                   ///< Known back ends.
   RepeatBudget Repeats;              ///< Budget for retries.
-  InitialDeadlines CallerDeadlines;      ///< Usual initial deadlines.
+  InitialDeadlines CallerDeadlines;  ///< Usual initial deadlines.
   DocumentPtr Doc;                   ///< Document in force.
   TimePoint DocSince;                ///< When Doc came into force here.
   RouteIndex Index;                  ///< Look-up tables of Doc.
--- a/packages/entry/src/forward/forward_headers.cpp
+++ b/packages/entry/src/forward/forward_headers.cpp
@@ -50,7 +50,8 @@
  * or because it has the caller's key. */
 bool isSystemHeader(const HeaderNames &Names, boost::beast::string_view Name) {
   const std::array Own = {&Names.Remaining, &Names.ExpectedServer,
-                          &Names.ExpectedVersion, &Names.Workspace, &Names.Rank};
+                          &Names.ExpectedVersion, &Names.Workspace,
+                          &Names.Rank};
   return iequals(Name, "Authorization") ||
          std::ranges::any_of(
              Own, [&](const std::string *One) { return iequals(Name, *One); });
--- a/packages/entry/src/forward/forward_headers.h
+++ b/packages/entry/src/forward/forward_headers.h
@@ -14,11 +14,11 @@
 
 /** Header values that the entry sets in a request to a back end. */
 struct AttemptHeaders {
-  Millis Remaining{0}; ///< Time until the caller's deadline.
-  InstanceId Server;   ///< Run of the back end that may answer.
-  std::string Version; ///< Required weights version; empty: any.
-  std::string Workspace;  ///< Workspace; empty: none.
-  uint32_t Rank = 0;   ///< Priority; 0 is first.
+  Millis Remaining{0};   ///< Time until the caller's deadline.
+  InstanceId Server;     ///< Run of the back end that may answer.
+  std::string Version;   ///< Required weights version; empty: any.
+  std::string Workspace; ///< Workspace; empty: none.
+  uint32_t Rank = 0;     ///< Priority; 0 is first.
   std::optional<uint64_t> LastEventId; ///< Event after which to resume.
 };
 
--- a/packages/entry/src/forward/forwarder.cpp
+++ b/packages/entry/src/forward/forwarder.cpp
@@ -217,7 +217,7 @@
 }
 
 void Forwarder::setDocument(DocumentPtr Doc,
-                       std::optional<TimePoint> PublishedAfter) {
+                            std::optional<TimePoint> PublishedAfter) {
   boost::asio::post(Shared.Io, [this, Doc = std::move(Doc), PublishedAfter] {
     const TimePoint Now = Shared.Clock.now();
     Shared.Doc = Doc;
@@ -239,7 +239,8 @@
 }
 
 void Forwarder::handlePong(LinkId Link) {
-  boost::asio::post(Shared.Io, [this, Link] { recordAgentActivity(Shared.Pool, Link); });
+  boost::asio::post(Shared.Io,
+                    [this, Link] { recordAgentActivity(Shared.Pool, Link); });
 }
 
 void Forwarder::handleRateNotice(const RateLimitNotice &Heard) {
@@ -273,7 +274,8 @@
 
 void Forwarder::setFleet(FleetSnapshot Fleet) {
   boost::asio::post(Shared.Io, [this, Fleet = std::move(Fleet)] {
-    setListingUnavailable(Shared.Pool, Fleet.ListingUnavailable, Shared.Clock.now());
+    setListingUnavailable(Shared.Pool, Fleet.ListingUnavailable,
+                          Shared.Clock.now());
     Shared.Pool.Entries = Fleet.Sharers;
     Shared.Pool.Sharers = Fleet.SharerNames;
     Shared.Fleet = Fleet;
@@ -306,8 +308,8 @@
   Out.result(Entries.empty() ? http::status::service_unavailable
                              : http::status::ok);
   Out.set(http::field::content_type, "application/json");
-  Out.body() =
-      Shared.Wire.formatDirectoryAnswer(Entries, Millis(Config.AddressKeepMillis));
+  Out.body() = Shared.Wire.formatDirectoryAnswer(
+      Entries, Millis(Config.AddressKeepMillis));
   To.answer(std::move(Out));
 }
 
--- a/packages/entry/src/forward/forwarder.h
+++ b/packages/entry/src/forward/forwarder.h
@@ -60,7 +60,7 @@
    * @param ToEntries Sends to all other entries; callable from any thread.
    */
   void setSenders(std::function<void(LinkId, const Message &)> ToAgent,
-                   std::function<void(const Message &)> ToEntries) {
+                  std::function<void(const Message &)> ToEntries) {
     Shared.SendToAgent = std::move(ToAgent);
     Shared.SendToEntries = std::move(ToEntries);
   }
--- a/packages/entry/src/main.cpp
+++ b/packages/entry/src/main.cpp
@@ -56,8 +56,9 @@
     return ExitFailed;
   }
   announceReady({{"peers", Peers}, {"callers", CallersAt}, {"admin", AdminAt}});
-  reloadSettingsUntilStop(SettingsPath, SettingOwner::Entry,
-              [&](const Settings &Changed) { Routes.reload(Changed); });
+  reloadSettingsUntilStop(
+      SettingsPath, SettingOwner::Entry,
+      [&](const Settings &Changed) { Routes.reload(Changed); });
   shutDown([&] { return Shell.drain(); });
   return ExitDone;
 }
--- a/packages/ports/src/engine_port.h
+++ b/packages/ports/src/engine_port.h
@@ -70,7 +70,8 @@
    * @return Nothing, or why the engine refused; OutcomeUnknown when it may have
    *         loaded, or may still load, other chunks than those verified.
    */
-  virtual Result<void> load(const LoadOrder &Order, const LoadCallbacks &Steps) = 0;
+  virtual Result<void> load(const LoadOrder &Order,
+                            const LoadCallbacks &Steps) = 0;
 };
 
 } // namespace jacinthpond
