--- a/packages/ports/src/wire_port.h
+++ b/packages/ports/src/wire_port.h
@@ -21,7 +21,7 @@
   std::string ExpectedServer; ///< Incarnation of the back end that may answer.
   /** Weights version that the answer may start with. */
   std::string ExpectedVersion;
-  std::string Workspace;        ///< Workspace; set by the entry, not by callers.
+  std::string Workspace;     ///< Workspace; set by the entry, not by callers.
   std::string Signature;     ///< Shows that a back end made the answer.
   std::string Load;          ///< Load of the answering back end.
   std::string NotExecuted;   ///< Set when the back end did not run the request.
@@ -66,21 +66,23 @@
    * @return JSON text of the body.
    */
   virtual std::string formatDirectoryAnswer(const std::vector<Address> &Entries,
-                                      Millis Keep) const = 0;
+                                            Millis Keep) const = 0;
 
   /**
    * Parses the load that a back end reports with an answer.
    * @param Value Header value.
    * @return Number of requests that run or wait there; nothing when malformed.
    */
-  virtual std::optional<uint32_t> parseServerLoad(std::string_view Value) const = 0;
+  virtual std::optional<uint32_t>
+  parseServerLoad(std::string_view Value) const = 0;
 
   /**
    * Parses the rate limit that a back end reports with an answer.
    * @param Value Header value.
    * @return Requests a second, 0 or more; nothing when malformed.
    */
-  virtual std::optional<double> parseRateLimit(std::string_view Value) const = 0;
+  virtual std::optional<double>
+  parseRateLimit(std::string_view Value) const = 0;
 
   /**
    * Parses the size of a prompt.
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -44,9 +44,10 @@
   const double Capacity = measureCapacity(All);
   const Offer What{3 * Capacity, 6, 256, overloadAsk};
   const auto Offered = offerLoad(All, What);
-  BOOST_TEST_MESSAGE("capacity " << Capacity << ", goodput "
-                                 << goodput(Offered, 1, 6) << ", small "
-                                 << answeredShare(Offered, LargeWorkspace, false));
+  BOOST_TEST_MESSAGE("capacity "
+                     << Capacity << ", goodput " << goodput(Offered, 1, 6)
+                     << ", small "
+                     << answeredShare(Offered, LargeWorkspace, false));
   BOOST_TEST(goodput(Offered, 1, 6) >= 0.9 * Capacity);
   BOOST_TEST(answeredShare(Offered, LargeWorkspace, false) >= 0.9);
   for (const auto &One : Offered) {
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -16,7 +16,7 @@
 
 /** Builds a request for admission with 30 s left. */
 AdmissionRequest makeRequest(int n, const std::string &Workspace = "huts",
-                     uint32_t Priority = 1, uint32_t Weight = 1) {
+                             uint32_t Priority = 1, uint32_t Weight = 1) {
   AdmissionRequest One;
   One.Who = {AttemptId{std::to_string(n)}, WorkspaceName{Workspace}, Weight,
              Priority};
@@ -69,7 +69,8 @@
 
 BOOST_AUTO_TEST_CASE(RunsOfAFormerAgentAreCounted) {
   applyBackEndReport(Gate, 3, false, true);
-  BOOST_TEST((requestAdmission(Gate, makeRequest(1)).Decision == AdmissionDecision::Wait));
+  BOOST_TEST((requestAdmission(Gate, makeRequest(1)).Decision ==
+              AdmissionDecision::Wait));
   applyBackEndReport(Gate, 2, false, false);
   BOOST_TEST(!admitNext(Gate));
   applyBackEndReport(Gate, 1, false, false);
@@ -102,7 +103,8 @@
   requestAdmission(Gate, makeRequest(99));
   applyColdLimit(Gate);
   for (int n = 0; n < 14; ++n) {
-    recordRunEnd(Gate, AttemptId{std::to_string(n)}, RunEnd::Complete, Millis{100});
+    recordRunEnd(Gate, AttemptId{std::to_string(n)}, RunEnd::Complete,
+                 Millis{100});
     BOOST_TEST(!admitNext(Gate));
   }
   recordRunEnd(Gate, AttemptId{"14"}, RunEnd::Complete, Millis{100});
@@ -116,9 +118,11 @@
     requestAdmission(Gate, makeRequest(n));
   AdmissionRequest Hurried = makeRequest(2);
   Hurried.Remaining = Millis{900};
-  BOOST_TEST((requestAdmission(Gate, Hurried).Decision == AdmissionDecision::Refuse));
+  BOOST_TEST(
+      (requestAdmission(Gate, Hurried).Decision == AdmissionDecision::Refuse));
   for (int n = 3; n < 7; ++n)
-    BOOST_TEST((requestAdmission(Gate, makeRequest(n)).Decision == AdmissionDecision::Wait));
+    BOOST_TEST((requestAdmission(Gate, makeRequest(n)).Decision ==
+                AdmissionDecision::Wait));
   const AdmissionResult Full = requestAdmission(Gate, makeRequest(7));
   BOOST_TEST((Full.Decision == AdmissionDecision::Refuse));
   // Five attempts to start, two at a time, one second each.
@@ -130,8 +134,10 @@
   requestAdmission(Gate, makeRequest(1));
   AdmissionRequest Suspect = makeRequest(2);
   Suspect.Alone = true;
-  BOOST_TEST((requestAdmission(Gate, Suspect).Decision == AdmissionDecision::Wait));
-  BOOST_TEST((requestAdmission(Gate, makeRequest(3)).Decision == AdmissionDecision::Wait));
+  BOOST_TEST(
+      (requestAdmission(Gate, Suspect).Decision == AdmissionDecision::Wait));
+  BOOST_TEST((requestAdmission(Gate, makeRequest(3)).Decision ==
+              AdmissionDecision::Wait));
   BOOST_TEST(!admitNext(Gate));
   recordRunEnd(Gate, AttemptId{"1"}, RunEnd::Complete, Millis{1});
   BOOST_TEST(admitNext(Gate)->Value == "2");
--- a/tests/unit/attempt_recovery_test.cpp
+++ b/tests/unit/attempt_recovery_test.cpp
@@ -37,8 +37,8 @@
   void end(uint64_t Count) const {
     Effects Out;
     AgentState &At = All.Agents.at(Agent);
-    handleEngineEnd(At, Which, {EngineEnd{Count, At.Weights.Loaded}, {}}, All.Now,
-                Out);
+    handleEngineEnd(At, Which, {EngineEnd{Count, At.Weights.Loaded}, {}},
+                    All.Now, Out);
     deliverEffects(Out);
   }
   /** Performs the agent's effects and delivers the resulting messages. */
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -40,7 +40,8 @@
     sendHeartbeats(Sender, View, TimePoint{}, Out);
     const Message &Sent = std::get<SendMessage>(Out.at(0)).Content;
     Bytes = encodeMessage(Sent).size();
-    handleHeartbeat(Receiver, LinkId{1}, std::get<Heartbeat>(Sent), TimePoint{});
+    handleHeartbeat(Receiver, LinkId{1}, std::get<Heartbeat>(Sent),
+                    TimePoint{});
     BOOST_TEST((Receiver.Links[LinkId{1}].Load.Weights == sha256("weights")));
   }
   BOOST_TEST_MESSAGE("bytes of a heartbeat: " << Bytes);
--- a/tests/unit/come_back_test.cpp
+++ b/tests/unit/come_back_test.cpp
@@ -18,8 +18,8 @@
   uint64_t Random = 7;
   std::vector<size_t> Slots(100);
   for (int n = 0; n < 500; ++n)
-    ++Slots.at(static_cast<size_t>(spreadRetryAfter(Why, Left, Random).count()) /
-               100);
+    ++Slots.at(
+        static_cast<size_t>(spreadRetryAfter(Why, Left, Random).count()) / 100);
   return *std::ranges::max_element(Slots);
 }
 
--- a/tests/unit/event_stream_test.cpp
+++ b/tests/unit/event_stream_test.cpp
@@ -13,8 +13,8 @@
   // start.
   EventStream Stream;
   std::string Out;
-  BOOST_CHECK(appendCompleteEvents(Stream, "id: 1\ndata: a\n\nid: 2\nda", Out) ==
-              EventStreamStatus::Good);
+  BOOST_CHECK(appendCompleteEvents(Stream, "id: 1\ndata: a\n\nid: 2\nda",
+                                   Out) == EventStreamStatus::Good);
   BOOST_TEST(Out == "id: 1\ndata: a\n\n");
   dropPartialEvent(Stream);
   BOOST_CHECK(appendCompleteEvents(Stream, "id: 2\ndata: b\n\n", Out) ==
@@ -53,6 +53,6 @@
 BOOST_AUTO_TEST_CASE(AnEventAboveTheSizeLimitIsRejected) {
   EventStream Stream;
   std::string Out;
-  BOOST_CHECK(appendCompleteEvents(Stream, std::string(MaxEventBytes + 1, 'x'), Out) ==
-              EventStreamStatus::TooLarge);
+  BOOST_CHECK(appendCompleteEvents(Stream, std::string(MaxEventBytes + 1, 'x'),
+                                   Out) == EventStreamStatus::TooLarge);
 }
--- a/tests/unit/fuzz_test.cpp
+++ b/tests/unit/fuzz_test.cpp
@@ -129,11 +129,12 @@
   EventParser Parser{OnBegin, OnToken, {}, {}, false};
   size_t Start = 0;
   for (const size_t Cut : Cuts) {
-    Got.Good = Parser.parseBytes(Stream.data() + Start, Cut - Start) && Got.Good;
+    Got.Good =
+        Parser.parseBytes(Stream.data() + Start, Cut - Start) && Got.Good;
     Start = Cut;
   }
-  Got.Good =
-      Parser.parseBytes(Stream.data() + Start, Stream.size() - Start) && Got.Good;
+  Got.Good = Parser.parseBytes(Stream.data() + Start, Stream.size() - Start) &&
+             Got.Good;
   Got.Count = Parser.End ? Parser.End->Count : 0;
   return Got;
 }
--- a/tests/unit/liveness_test.cpp
+++ b/tests/unit/liveness_test.cpp
@@ -49,14 +49,14 @@
 
   /** Applies a heartbeat of a worker's agent. */
   void sendHeartbeat(const std::string &Id, LinkId Link) {
-    applyAgentReport(Pool, {{Id + ":1"}, WorkerState::Serving, 0, {"m@1"}, true, Link},
-              Now);
+    applyAgentReport(
+        Pool, {{Id + ":1"}, WorkerState::Serving, 0, {"m@1"}, true, Link}, Now);
   }
 
   /** Ends the link to a worker's agent. */
   void endLink(const std::string &Id, bool Silent) {
-    applyAgentReport(Pool, {{Id + ":1"}, WorkerState::Empty, 0, {}, false, {}, Silent},
-              Now);
+    applyAgentReport(
+        Pool, {{Id + ":1"}, WorkerState::Empty, 0, {}, false, {}, Silent}, Now);
   }
 
   /** Gives the instance that a request gets; empty: none. */
--- a/tests/unit/mesh.h
+++ b/tests/unit/mesh.h
@@ -111,7 +111,8 @@
     Dead.erase(Name);
     Effects Out;
     if (!Model)
-      handleServiceProbe(Agents[Name], Outcome<std::string>{Name, {}}, Now, Out);
+      handleServiceProbe(Agents[Name], Outcome<std::string>{Name, {}}, Now,
+                         Out);
     perform(Name, Out);
   }
 
@@ -154,7 +155,7 @@
     State.Weights = Agent.Weights.Wanted.Set;
     Effects Out;
     handleEngineReport(Agent, Outcome<EngineState>{State, {}},
-                    Agent.Weights.OrdersEnded, Now, Out);
+                       Agent.Weights.OrdersEnded, Now, Out);
     perform(Name, Out);
   }
 
@@ -164,16 +165,17 @@
       if (!Only.empty() && Only != Name)
         continue;
       Effects Out;
-      handleEntryConfigRead(Entry, Outcome<std::string>{Doc.dump(), {}}, Now, Now,
-                      Out);
+      handleEntryConfigRead(Entry, Outcome<std::string>{Doc.dump(), {}}, Now,
+                            Now, Out);
       perform(Name, Out);
     }
   }
 
   /** Sends a request to an entry; gives the number of the call. */
   uint64_t sendRequest(const std::string &Entry, const std::string &Class,
-               const std::string &Key = "", const std::string &Token = "",
-               const std::string &Body = "{}") {
+                       const std::string &Key = "",
+                       const std::string &Token = "",
+                       const std::string &Body = "{}") {
     CallRequest CallerRequest;
     CallerRequest.Call.Value = NextCall++;
     CallerRequest.Class.Value = Class;
@@ -194,11 +196,13 @@
     while (Now < End) {
       Now += Millis(50);
       for (auto &Row : Entries)
-        runUnlessStopped(Row.first,
-                         [&](Effects &e) { handleEntryTick(Row.second, Now, e); });
+        runUnlessStopped(Row.first, [&](Effects &e) {
+          handleEntryTick(Row.second, Now, e);
+        });
       for (auto &Row : Agents)
-        runUnlessStopped(Row.first,
-                         [&](Effects &e) { handleAgentTick(Row.second, Now, e); });
+        runUnlessStopped(Row.first, [&](Effects &e) {
+          handleAgentTick(Row.second, Now, e);
+        });
       deliverAll();
     }
   }
@@ -343,32 +347,33 @@
   void perform(const std::string &Name, const Effects &Todo) {
     for (const Effect &One : Todo)
       std::visit(
-          Overloaded{
-              [&](const OpenLink &e) {
-                openWire(Name, e.Link, NameAt.at(e.To.Value));
-              },
-              [&](const CloseLink &e) { holdWire(Name, e.Link); },
-              [&](const SendMessage &e) {
-                queueMessage(Name, e.Link, e.Content);
-              },
-              [&](const CallPart &e) { Texts[e.Call.Value] += e.Data; },
-              [&](const CallEnd &e) {
-                Finals[e.Call.Value] = {Texts[e.Call.Value], true,
-                                        ErrorKind::Count, "", Ran::Yes};
-              },
-              [&](const CallError &e) {
-                Finals[e.Call.Value] = {Texts[e.Call.Value], false, e.Why.Kind,
-                                        e.Token, e.Executed};
-              },
-              [&](const RunService &e) {
-                ServiceCalls.emplace_back(Name, e.Call);
-                if (!SlowServices.contains(Name))
-                  answerServiceCall(Name, e.Call.Attempt);
-              },
-              [&](const RunModel &e) { EngineRequests.emplace_back(Name, e.Request); },
-              [](const auto &) {
-                // Logs and weights aren't simulated.
-              }},
+          Overloaded{[&](const OpenLink &e) {
+                       openWire(Name, e.Link, NameAt.at(e.To.Value));
+                     },
+                     [&](const CloseLink &e) { holdWire(Name, e.Link); },
+                     [&](const SendMessage &e) {
+                       queueMessage(Name, e.Link, e.Content);
+                     },
+                     [&](const CallPart &e) { Texts[e.Call.Value] += e.Data; },
+                     [&](const CallEnd &e) {
+                       Finals[e.Call.Value] = {Texts[e.Call.Value], true,
+                                               ErrorKind::Count, "", Ran::Yes};
+                     },
+                     [&](const CallError &e) {
+                       Finals[e.Call.Value] = {Texts[e.Call.Value], false,
+                                               e.Why.Kind, e.Token, e.Executed};
+                     },
+                     [&](const RunService &e) {
+                       ServiceCalls.emplace_back(Name, e.Call);
+                       if (!SlowServices.contains(Name))
+                         answerServiceCall(Name, e.Call.Attempt);
+                     },
+                     [&](const RunModel &e) {
+                       EngineRequests.emplace_back(Name, e.Request);
+                     },
+                     [](const auto &) {
+                       // Logs and weights aren't simulated.
+                     }},
           One);
   }
 };
--- a/tests/unit/one_host.h
+++ b/tests/unit/one_host.h
@@ -34,7 +34,8 @@
 /** A host with links to two peers of its domain; Now changes only in asked().
  */
 struct TransferHost {
-  explicit TransferHost(const std::string &Name = "w0", double LinkMegabits = 0) {
+  explicit TransferHost(const std::string &Name = "w0",
+                        double LinkMegabits = 0) {
     for (const char *One : {"w0", "w1", "w2", "w3"}) {
       Worker Row;
       Row.Name.Value = One;
@@ -60,12 +61,14 @@
   }
   /** Handles a peer's notice of its chunks; each argument is a bit mask. */
   void receiveHeldChunks(LinkId Link, uint8_t Held, uint8_t Coming = 0) {
-    recordAnnouncement(Transfer, Link, {Weights.Wanted.Set, {Held}, {Coming}}, Now);
+    recordAnnouncement(Transfer, Link, {Weights.Wanted.Set, {Held}, {Coming}},
+                       Now);
   }
   /** Handles a peer's answer to the request for chunk Asked. */
-  void receiveChunk(LinkId Link, const std::string &Asked, const std::string &Came) {
+  void receiveChunk(LinkId Link, const std::string &Asked,
+                    const std::string &Came) {
     receiveChunkFromPeer(Transfer, Weights, Link, sha256(Asked),
-                  digestChunk(makeChunkBytes(Came)), Now, Out);
+                         digestChunk(makeChunkBytes(Came)), Now, Out);
   }
   /** Advances the clock, lets chunks be requested, and gives the links to the
    * peers that were asked. */
--- a/tests/unit/pause_test.cpp
+++ b/tests/unit/pause_test.cpp
@@ -52,10 +52,12 @@
   BOOST_TEST((sendCall() == ErrorKind::StaleView));
   BOOST_TEST(countClosedLinks(Out) == 4U);
   BOOST_TEST((State.Fleet.Self.Run != Before));
-  handleEntryMessage(State, Old, nextHeartbeat("w"), Now, Out); // Sent before the pause.
+  handleEntryMessage(State, Old, nextHeartbeat("w"), Now,
+                     Out); // Sent before the pause.
   BOOST_TEST(State.Fleet.Links.empty());
-  handleEntryConfigRead(State, {std::string(), {}}, Now - std::chrono::seconds{20},
-                  Now, Out); // Read that began before the pause.
+  handleEntryConfigRead(State, {std::string(), {}},
+                        Now - std::chrono::seconds{20}, Now,
+                        Out); // Read that began before the pause.
   BOOST_TEST(!State.Fleet.Joining.ServiceAnswered);
   // Counted as contact, that answer would let this entry report to all others
   // that the service answers, which may have gone down meanwhile. Servers whose
--- a/tests/unit/place_test.cpp
+++ b/tests/unit/place_test.cpp
@@ -48,10 +48,10 @@
   /** Requests a slot. Returns the answer, or nothing when the request waits.
    */
   std::optional<SlotAnswer> requestSlot(const std::string &Id, Millis Wait,
-                                         uint32_t Prompt = 0, uint32_t Rank = 1,
-                                         LinkId Link = EntryA,
-                                         uint32_t MaxBacklogToRequest = 0,
-                                         bool Spare = false) {
+                                        uint32_t Prompt = 0, uint32_t Rank = 1,
+                                        LinkId Link = EntryA,
+                                        uint32_t MaxBacklogToRequest = 0,
+                                        bool Spare = false) {
     Out.clear();
     SlotRequest m;
     m.SlotId.Value = Id;
@@ -163,7 +163,8 @@
 BOOST_AUTO_TEST_CASE(AnswerContainsRemainingReadingTime) {
   AgentFixture Test;
   Test.Agent.Prefill.TokensPerSecond = 10000;
-  BOOST_TEST(Test.requestSlot("a", Millis(500), 500)->PrefillBacklogMillis == 50U);
+  BOOST_TEST(Test.requestSlot("a", Millis(500), 500)->PrefillBacklogMillis ==
+             50U);
 }
 
 BOOST_AUTO_TEST_CASE(SlotsOfADeadEntryAreReleased) {
@@ -323,7 +324,7 @@
 
 /** Builds a request for a slot with a target time for its first part. */
 SlotRequest requestWithTarget(const std::string &Id, Millis Time,
-                           uint32_t Prompt) {
+                              uint32_t Prompt) {
   SlotRequest m;
   m.SlotId.Value = Id;
   m.Workspace.Value = "t";
@@ -556,8 +557,9 @@
   };
   Report("run 1");
   handleRateNotice(Test.Agent, {{}, {}, 1.8, 0}, Test.Now, Test.Out);
-  handleEngineReport(Test.Agent, {std::nullopt, {ErrorKind::Unreachable, "", {}}},
-                  0, Test.Now, Test.Out);
+  handleEngineReport(Test.Agent,
+                     {std::nullopt, {ErrorKind::Unreachable, "", {}}}, 0,
+                     Test.Now, Test.Out);
   Report("run 1");
   BOOST_TEST(Test.Agent.Rate.PerSecond.has_value());
   Report("run 2");
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -24,7 +24,8 @@
   /** Gives the engines that such a request reached and crashed. */
   std::set<std::string> crashedEngines() {
     for (; Begun.size() < EngineRequests.size();)
-      Begun.push_back(Crashed.insert(EngineRequests[Begun.size()].first).second);
+      Begun.push_back(
+          Crashed.insert(EngineRequests[Begun.size()].first).second);
     return Crashed;
   }
 
@@ -54,7 +55,7 @@
       }
       Effects Out;
       handleEngineReport(Agent, {{}, {ErrorKind::Unreachable, "", {}}},
-                      Agent.Weights.OrdersEnded, Now, Out);
+                         Agent.Weights.OrdersEnded, Now, Out);
       perform(Name, Out);
     }
     deliverAll();
--- a/tests/unit/publication_age_test.cpp
+++ b/tests/unit/publication_age_test.cpp
@@ -121,7 +121,8 @@
   OneEntry New;
   New.receiveConfig(document(5));
   BOOST_TEST(!New.State.View.PublishedAfter.has_value());
-  New.receiveConfig(document(6)); // The first one may be from a peer that was behind.
+  New.receiveConfig(
+      document(6)); // The first one may be from a peer that was behind.
   BOOST_TEST(!New.State.View.PublishedAfter.has_value());
 }
 
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -13,8 +13,8 @@
   /** Applies a notice of a death; true when it is news. */
   bool reportDeath(const std::string &Death, bool Alone = false,
                    uint64_t AgeMillis = 0) {
-    return applySuspectNotice(State, {Fingerprint, Death, AgeMillis, Alone, false},
-                       Now);
+    return applySuspectNotice(
+        State, {Fingerprint, Death, AgeMillis, Alone, false}, Now);
   }
   /** Gives how the request is to be treated now. */
   int suspicion() const {
@@ -64,9 +64,11 @@
   const auto &Sent = std::get<SendMessage>(Out.front());
   const auto Notice = std::get<SuspectNotice>(Sent.Content);
   BOOST_TEST(applySuspectNotice(Other, Notice, Now));
-  BOOST_TEST(!applySuspectNotice(Other, Notice, Now)); // No news: not forwarded.
+  BOOST_TEST(
+      !applySuspectNotice(Other, Notice, Now)); // No news: not forwarded.
   // The old notice, forwarded late, is not applied again.
-  BOOST_TEST(!applySuspectNotice(Other, {Fingerprint, "w1/7", 0, false, false}, Now));
+  BOOST_TEST(
+      !applySuspectNotice(Other, {Fingerprint, "w1/7", 0, false, false}, Now));
   BOOST_TEST(static_cast<int>(suspicionOf(Other, Fingerprint, Now)) == None);
   // A later death counts as the first one.
   applySuspectNotice(Other, {Fingerprint, "w2/9", 0, false, false}, Now);
--- a/tests/unit/route_model.h
+++ b/tests/unit/route_model.h
@@ -157,7 +157,7 @@
   DocumentPtr Doc;             ///< Document by which it is handled.
   const Route *From = nullptr; ///< Its route.
   ServerNeeds Needs;           ///< What it needs.
-  SlotSearch Search;          ///< Agents asked.
+  SlotSearch Search;           ///< Agents asked.
   InstanceId At;               ///< Back end of the try under way.
   AttemptId Place;             ///< Place there; may be empty.
   LinkId PlaceLink;            ///< Over which link it was asked for.
@@ -191,7 +191,7 @@
   RouteIndex Index;                      ///< Look-ups into it.
   ServerPool Pool;                       ///< Back ends.
   FleetSnapshot Fleet;                   ///< What it was told of the fleet.
-  PassedAgentReports Told;                         ///< What it was told of agents.
+  PassedAgentReports Told;               ///< What it was told of agents.
   RepeatBudget Repeats;                  ///< Its repeats.
   std::map<AttemptId, AskedPtr> Waiting; ///< Requests that ask for a place.
   uint64_t Places = 0;                   ///< Places asked for.
@@ -1107,7 +1107,8 @@
       EngineState State;
       State.Run = Beside.Id.Value;
       if (Beside.Version > 0)
-        State.Weights = publishedWeightsId({"trail"}, std::to_string(Beside.Version));
+        State.Weights =
+            publishedWeightsId({"trail"}, std::to_string(Beside.Version));
       State.Running = Beside.Running;
       State.Cold = Now < Beside.ColdUntil;
       State.Busy = Beside.Busy;
@@ -1243,7 +1244,8 @@
       return;
     }
     ServerChoice Choice = chooseServer(At.Pool, One->Needs, Now);
-    if (Choice.Server == nullptr && reconsiderBusyServers(One->Search, One->Needs))
+    if (Choice.Server == nullptr &&
+        reconsiderBusyServers(One->Search, One->Needs))
       Choice = chooseServer(At.Pool, One->Needs, Now);
     if (Choice.Server == nullptr) {
       if (Choice.Why == PoolRefusal::NoneListed && One->Needs.Full.empty() &&
@@ -1269,7 +1271,7 @@
   void askPlace(Process &At, const AskedPtr &One, const ServerView &Server) {
     SlotRequest Ask;
     Ask.SlotId.Value = At.Name + "/" + std::to_string(At.Life) + "/" +
-                      std::to_string(++At.Places);
+                       std::to_string(++At.Places);
     const Duration Left = One->Sent + One->From->Target - Now;
     Millis Wait = std::max(toMillis(Left), Millis(0));
     if (Wait.count() == 0) {
@@ -1279,7 +1281,8 @@
     }
     Ask.WaitMillis = static_cast<uint64_t>(Wait.count());
     const Millis MaxBacklogToRequest = maxPrefillBacklog(One->Search);
-    Ask.MaxPrefillBacklogMillis = static_cast<uint32_t>(MaxBacklogToRequest.count());
+    Ask.MaxPrefillBacklogMillis =
+        static_cast<uint32_t>(MaxBacklogToRequest.count());
     recordSlotRequest(One->Search);
     One->Place = Ask.SlotId;
     One->PlaceLink = Server.Agent->Link;
@@ -1434,7 +1437,7 @@
       return;
     const Millis Age = Limit ? Millis(0) : toMillis(Now - One->CallBegan);
     const RateLimitNotice Told{One->Place, One->At, Limit,
-                         static_cast<uint64_t>(Age.count())};
+                               static_cast<uint64_t>(Age.count())};
     Effects Out;
     if (hasAgent(it->second))
       Out.push_back(SendMessage{it->second.Agent->Link, Told});
--- a/tests/unit/server_pool_test.cpp
+++ b/tests/unit/server_pool_test.cpp
@@ -62,8 +62,8 @@
 
   /** Applies the document to the pool, as published after a time. */
   void publishDocumentSince(std::optional<TimePoint> PublishedAfter) {
-    applyPoolDocument(State, std::make_shared<const Document>(Doc), PublishedAfter,
-                Now);
+    applyPoolDocument(State, std::make_shared<const Document>(Doc),
+                      PublishedAfter, Now);
   }
 
   /** Gives what a request for a service needs. */
@@ -90,13 +90,13 @@
   void reportAllAgents() {
     for (const char *Id : {"m0", "m1", "m2"})
       applyAgentReport(State,
-                {{std::string(Id) + ":1"},
-                 WorkerState::Serving,
-                 1,
-                 {"m@1"},
-                 true,
-                 {}},
-                Now);
+                       {{std::string(Id) + ":1"},
+                        WorkerState::Serving,
+                        1,
+                        {"m@1"},
+                        true,
+                        {}},
+                       Now);
   }
 
   /** Counts how often each instance is chosen in many tries. */
@@ -326,28 +326,32 @@
   AgentReport News{Address{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}};
   applyAgentReport(Fixture.State, News, Fixture.Now);
   markAgentSilent(Fixture.State, {"m0"}, Fixture.Now);
-  recordAttemptStart(Fixture.State, {"m2"}); // The other one in this entry's domain.
+  recordAttemptStart(Fixture.State,
+                     {"m2"}); // The other one in this entry's domain.
   recordAttemptStart(Fixture.State, {"m2"});
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
   recordAttemptStart(Fixture.State, {"m0"});
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
   Fixture.Now += Millis(200);
-  recordServerActivity(Fixture.State, {"m0"}, Fixture.Now); // Only its agent failed.
+  recordServerActivity(Fixture.State, {"m0"},
+                       Fixture.Now); // Only its agent failed.
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
 }
 
 BOOST_AUTO_TEST_CASE(ALoadingWorkerIsNotChosen) {
   PoolFixture Fixture;
-  applyAgentReport(Fixture.State,
-            {Address{"m0:1"}, WorkerState::Loading, 0, {"m@1"}, true, {}},
-            Fixture.Now);
+  applyAgentReport(
+      Fixture.State,
+      {Address{"m0:1"}, WorkerState::Loading, 0, {"m@1"}, true, {}},
+      Fixture.Now);
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
 }
 
 BOOST_AUTO_TEST_CASE(AnUnreachableBackEndIsAvoidedForAWhile) {
   PoolFixture Fixture;
   recordAttemptStart(Fixture.State, {"p0"});
-  recordAttemptEnd(Fixture.State, {"p0"}, AttemptEnd::Unreached, {}, Fixture.Now);
+  recordAttemptEnd(Fixture.State, {"p0"}, AttemptEnd::Unreached, {},
+                   Fixture.Now);
   BOOST_TEST(Fixture.countChoices("plain")["p0"] == 0);
   Fixture.Now += Millis(400);
   BOOST_TEST(Fixture.countChoices("plain")["p0"] > 0);
@@ -360,8 +364,8 @@
   for (int n = 0; n < 20; ++n) {
     recordAttemptStart(Fixture.State, {"p0"});
     recordAttemptEnd(Fixture.State, {"p0"},
-                  n % 2 == 0 ? AttemptEnd::Error : AttemptEnd::Answered,
-                  Millis(5), Fixture.Now);
+                     n % 2 == 0 ? AttemptEnd::Error : AttemptEnd::Answered,
+                     Millis(5), Fixture.Now);
   }
   BOOST_TEST(Fixture.countChoices("plain")["p0"] == 0);
 }
@@ -413,8 +417,8 @@
   Fixture.reportAllAgents();
   const auto SendHeartbeat = [&] {
     applyAgentReport(Fixture.State,
-              {{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}},
-              Fixture.Now);
+                     {{"m0:1"}, WorkerState::Serving, 0, {"m@1"}, true, {}},
+                     Fixture.Now);
   };
   const auto MissReply = [&] {
     markAgentSilent(Fixture.State, {"m0"}, Fixture.Now);
@@ -430,7 +434,8 @@
   MissReply();
   Fixture.Now += Millis(500); // The time doubled.
   BOOST_TEST(Fixture.countChoices("llm")["m0"] == 0);
-  recordPrefillBacklog(Fixture.State, {"m0"}, Duration{0}); // It replied to one.
+  recordPrefillBacklog(Fixture.State, {"m0"},
+                       Duration{0}); // It replied to one.
   Fixture.Now += Millis(100);
   MissReply();
   BOOST_TEST(Fixture.countChoices("llm")["m0"] > 0);
@@ -462,8 +467,8 @@
   PoolFixture Fixture;
   for (const char *At : {"m0:1", "m1:1", "m2:1"})
     applyAgentReport(Fixture.State,
-              {Address{At}, WorkerState::Serving, 0, {"m@1"}, true, {}},
-              Fixture.Now);
+                     {Address{At}, WorkerState::Serving, 0, {"m@1"}, true, {}},
+                     Fixture.Now);
   recordPrefillBacklog(Fixture.State, {"m0"}, Millis(300));
   recordPrefillBacklog(Fixture.State, {"m2"}, Millis(300));
   const auto Got = Fixture.countChoices("llm");
@@ -520,8 +525,8 @@
   const ServerView &View = Fixture.State.Servers.at({"m0"});
   BOOST_TEST(!rateNoticeForAgent(View, Fixture.Now).has_value());
   applyAgentReport(Fixture.State,
-            {Address{"m0:1"}, WorkerState::Empty, 0, {}, false, {}},
-            Fixture.Now);
+                   {Address{"m0:1"}, WorkerState::Empty, 0, {}, false, {}},
+                   Fixture.Now);
   News.Link = LinkId{8};
   News.PerSecond.reset();
   Fixture.Now += Millis(2000);
--- a/tests/unit/server_rate_test.cpp
+++ b/tests/unit/server_rate_test.cpp
@@ -167,7 +167,8 @@
   BOOST_CHECK(recordNoRateLimit(Rate, Start) == RateChange::Lifted);
   BOOST_TEST(!Rate.PerSecond.has_value());
   // An older notice of a peer does not set it again.
-  BOOST_CHECK(recordRateLimit(Rate, 2.7, Start - Millis(1)) == RateChange::None);
+  BOOST_CHECK(recordRateLimit(Rate, 2.7, Start - Millis(1)) ==
+              RateChange::None);
 }
 
 // Guards against an entry without a share of a limit that does not learn that
--- a/tests/unit/slow_link_test.cpp
+++ b/tests/unit/slow_link_test.cpp
@@ -94,8 +94,8 @@
       if (Fetch == nullptr)
         continue;
       Takeovers += Fetch->Chunk.Number == Own ? 0 : 1;
-      receiveChunkFromOrigin(One.Transfer, One.Weights, Fetch->Chunk.Content, {},
-                      One.Now, One.Out);
+      receiveChunkFromOrigin(One.Transfer, One.Weights, Fetch->Chunk.Content,
+                             {}, One.Now, One.Out);
     }
   }
   BOOST_TEST(Takeovers <= 5U);
--- a/tests/unit/status_test.cpp
+++ b/tests/unit/status_test.cpp
@@ -108,7 +108,8 @@
   Next.Models[0].Set.Value = "new";
   Next.Workers.erase(Next.Workers.begin() + 1);
   Next.DomainsOut.clear();
-  const DocumentChange Change = compareDocuments(Entry.View.InForce.get(), Next);
+  const DocumentChange Change =
+      compareDocuments(Entry.View.InForce.get(), Next);
   BOOST_TEST(Change.WouldApply);
   BOOST_TEST(Change.WorkersToLoad == 2U);
   for (const ListChange &One : Change.Lists) {
--- a/tests/unit/team_access_test.cpp
+++ b/tests/unit/team_access_test.cpp
@@ -55,7 +55,8 @@
     BOOST_TEST((Access.Value ? Access.Value->Team : "") == One.Team);
     BOOST_TEST(Access.Why.Detail.find("huts-tok") == std::string::npos);
   }
-  BOOST_TEST(!outcomeOf([&] { return authenticateTeam(nullptr, "Bearer x"); }).Value);
+  BOOST_TEST(
+      !outcomeOf([&] { return authenticateTeam(nullptr, "Bearer x"); }).Value);
 }
 
 BOOST_AUTO_TEST_CASE(AMetricsPageNamesWorkspacesOnlyToTheirTeam) {
@@ -65,7 +66,8 @@
     Timings.observe(Timing::Whole, Doc.get(), WorkspaceName{Workspace},
                     ClassName{"bookings"}, Seconds(0.02));
   const auto PageFor = [&](const std::string &Header) {
-    return metricsText(filterVisibleMetrics(Timings.collect(), Doc.get(), Header));
+    return metricsText(
+        filterVisibleMetrics(Timings.collect(), Doc.get(), Header));
   };
   const std::string Open = PageFor("");
   BOOST_TEST(Open.find("tenant") == std::string::npos);
--- a/tests/unit/transfer_test.cpp
+++ b/tests/unit/transfer_test.cpp
@@ -33,9 +33,11 @@
   BOOST_TEST((One.advanceAndListAskedPeers() == std::vector{PeerA}));
   One.receiveHeldChunks(PeerB, 1);
   BOOST_TEST((One.advanceAndListAskedPeers(Millis(3000)) == NoLinks));
-  BOOST_TEST((One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerB}));
+  BOOST_TEST(
+      (One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerB}));
   removeChunkPeer(One.Transfer, PeerB, One.Now);
-  BOOST_TEST((One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerA}));
+  BOOST_TEST(
+      (One.advanceAndListAskedPeers(Millis(1000)) == std::vector{PeerA}));
 }
 
 // A change of version is reverted during the transfer. No chunk of the new
