--- a/packages/core/src/weights/transfer_type.h
+++ b/packages/core/src/weights/transfer_type.h
@@ -121,9 +121,9 @@
   TimePoint LinksSettledAt;        ///< When links should be up after the start.
   TimePoint AvailabilityChangedAt; ///< Last time that a chunk was first seen,
                                    ///< or that the origin failed.
-  TimePoint AnnouncedAt;        ///< Last announcement to all peers.
-  bool AnnouncementDue = false; ///< There are changes to announce.
-  uint64_t Random = 1;          ///< State of the generator that breaks ties.
+  TimePoint AnnouncedAt;           ///< Last announcement to all peers.
+  bool AnnouncementDue = false;    ///< There are changes to announce.
+  uint64_t Random = 1;             ///< State of the generator that breaks ties.
   TimePoint RateWindowStart;    ///< Start of the window for measuring the rate.
   uint64_t RateWindowBytes = 0; ///< Bytes received in that window.
   uint64_t BytesPerSecond = 0;  ///< Rate of the last complete window.
--- a/tests/unit/leaving_entry_test.cpp
+++ b/tests/unit/leaving_entry_test.cpp
@@ -7,7 +7,7 @@
 #include <boost/test/unit_test.hpp>
 
 using namespace jacinthpond;
-using jacinthpond::mesh::Final;
+using jacinthpond::mesh::FinalAnswer;
 using jacinthpond::mesh::Mesh;
 using std::chrono::milliseconds;
 
@@ -27,7 +27,7 @@
     All.deliverAll();
   }
   /** Sends a keyed call and gives its final result. */
-  Final book(const std::string &Entry, const std::string &With) {
+  FinalAnswer book(const std::string &Entry, const std::string &With) {
     return All.Finals[All.sendRequest(Entry, "bookings", "k", With)];
   }
 
@@ -44,12 +44,12 @@
 BOOST_AUTO_TEST_CASE(ARefusedBookingIsReportedAsNotRun) {
   const std::string Token = token();
   stopEntry();
-  const Final Refused = book("e0", Token);
+  const FinalAnswer Refused = book("e0", Token);
   BOOST_TEST((Refused.Kind == ErrorKind::Leaving));
   BOOST_TEST((Refused.Executed == Ran::No));
   BOOST_TEST(All.ServiceCalls.empty());
   // It stays not run: the home refuses the key with the old token at any entry.
-  const Final Old = book("e1", Token);
+  const FinalAnswer Old = book("e1", Token);
   BOOST_TEST((Old.Executed == Ran::No));
   BOOST_TEST(All.ServiceCalls.empty());
   BOOST_TEST(Refused.Token != Token);
@@ -61,10 +61,10 @@
 // through an entry that shuts down.
 BOOST_AUTO_TEST_CASE(ABookingThatRanGetsItsAnswer) {
   const std::string Token = token();
-  const Final First = book("e1", Token);
+  const FinalAnswer First = book("e1", Token);
   BOOST_REQUIRE(First.Whole);
   stopEntry();
-  const Final Again = book("e0", Token);
+  const FinalAnswer Again = book("e0", Token);
   BOOST_TEST(Again.Whole);
   BOOST_TEST(Again.Text == First.Text);
   BOOST_TEST(All.ServiceCalls.size() == 1U);
@@ -93,7 +93,7 @@
   const std::string Token = token();
   stopEntry();
   All.kill("s0");
-  const Final Alone = book("e0", Token);
+  const FinalAnswer Alone = book("e0", Token);
   BOOST_TEST((Alone.Kind == ErrorKind::Leaving));
   BOOST_TEST((Alone.Executed == Ran::Unknown));
 }
@@ -102,7 +102,7 @@
   const std::string Token = token();
   stopEntry(milliseconds(300));
   All.advanceTime(milliseconds(300));
-  const Final Late = book("e0", Token);
+  const FinalAnswer Late = book("e0", Token);
   BOOST_TEST((Late.Kind == ErrorKind::Leaving));
   BOOST_TEST((Late.Executed == Ran::Unknown));
   BOOST_TEST(All.ServiceCalls.empty());
@@ -112,7 +112,7 @@
 // could not continue elsewhere at once.
 BOOST_AUTO_TEST_CASE(WithoutATokenTheHomeIsNotQueried) {
   stopEntry();
-  const Final Refused = book("e0", "");
+  const FinalAnswer Refused = book("e0", "");
   BOOST_TEST((Refused.Kind == ErrorKind::Leaving));
   BOOST_TEST((Refused.Executed == Ran::Unknown));
 }
