--- a/packages/core/src/forwarding/server_listing.cpp
+++ b/packages/core/src/forwarding/server_listing.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Former sets that are kept for each model. */
+/** Replaced sets that are kept for each model. */
 constexpr size_t MaxReplacedSets = 8;
 
 /** Updates the back ends from the list of the document, and removes unlisted
