--- a/packages/adapters/http/http_server.h
+++ b/packages/adapters/http/http_server.h
@@ -60,7 +60,8 @@
  * @param Why Kind and detail.
  * @param Executed Whether the request was executed.
  * @param Request Id of the request; may be empty.
- * @param Elsewhere Addresses of other entries to use instead; may be empty.
+ * @param AlternativeEntries Addresses of other entries to use instead; may be
+ * empty.
  */
 void writeError(httplib::Response &Answer, const Failure &Why, Ran Executed,
                 const RequestId &Request,
@@ -71,7 +72,8 @@
  * @param Why Kind and detail.
  * @param Executed Whether the request was executed.
  * @param Request Id of the request; may be empty.
- * @param Elsewhere Addresses of other entries to use instead; may be empty.
+ * @param AlternativeEntries Addresses of other entries to use instead; may be
+ * empty.
  * @return JSON text.
  */
 std::string errorBody(const Failure &Why, Ran Executed,
--- a/packages/core/src/attempts/agent_type.h
+++ b/packages/core/src/attempts/agent_type.h
@@ -38,7 +38,8 @@
   Digest Weights; ///< Weights that produce the answer; empty: none.
   bool AttemptStartedSent =
       false; ///< The entry was told that the back end has it.
-  std::vector<std::string> Frames; ///< Frames so far, from Asked.ResumeFrom.
+  std::vector<std::string>
+      Frames; ///< Frames so far, from StartMessage.ResumeFrom.
   std::optional<TimePoint> LinkLostAt; ///< When the entry's link was lost.
   bool Cancelled = false;              ///< No caller waits for it.
   bool RanAlone = false;               ///< Nothing else ran beside it.
--- a/packages/core/src/membership/join.cpp
+++ b/packages/core/src/membership/join.cpp
@@ -14,7 +14,7 @@
 /** Time between two probes of a peer that has not answered. */
 constexpr Millis ProbePeriod{300};
 /** Gap between two ticks, normally 50 ms, after which messages that wait in the
- * sockets may be out of date. BeginMargin in weights.cpp, the margin of
+ * sockets may be out of date. StartMargin in weights.cpp, the margin of
  * decisions by a document's age, has to be longer. */
 constexpr Millis StallGap{1000};
 /** Heartbeat periods after a stall in which the backlog of the sockets is
